--- a/storage_gateway/http/__init__.py
+++ b/storage_gateway/http/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP towards clients (server) and towards storage nodes (client)."""
+"""The HTTP server for clients and the HTTP client for storage nodes."""
 
 from storage_gateway.http.client_connection import LINGER_S
 from storage_gateway.http.node_client import NodeClient
--- a/storage_gateway/http/aiohttp_internals.py
+++ b/storage_gateway/http/aiohttp_internals.py
@@ -1,14 +1,14 @@
-"""The only module that touches parts of aiohttp that its documentation does not promise.
+"""The only module that uses parts of aiohttp outside its documented API.
 
-Every use was read against the source of aiohttp 3.14.5, the version that requirements.txt pins:
+All uses were verified against the source of aiohttp 3.14.5, the version that requirements.txt pins:
 
 - ``aiohttp.http.HttpResponseParser`` and ``aiohttp.base_protocol.BaseProtocol``, to parse the head of one
-  response without aiohttp's client around it;
+  response without aiohttp's client;
 - the arguments with which ``web.Server`` calls its request factory, and those of ``web.BaseRequest``;
 - ``_waiter``, ``_messages``, ``_loop``, ``_process_keepalive``, ``_next_keepalive_close_time`` and
   ``_keepalive_handle`` of ``web.RequestHandler``.
 
-tests/http/test_aiohttp_internals.py fails when another version is installed, or one of these goes.
+tests/http/test_aiohttp_internals.py fails if another version is installed or one of these parts is missing.
 """
 
 from __future__ import annotations
@@ -36,18 +36,18 @@
     web.BaseRequest,
 ]
 
-AIOHTTP_VERSION = "3.14.5"  # the version that this module was read against
+AIOHTTP_VERSION = "3.14.5"  # the version that this module was verified against
 
 
 def make_response_parser(
     loop: asyncio.AbstractEventLoop, body_buffer_bytes: int, max_head_bytes: int
 ) -> HttpResponseParser:
-    """Return a parser for one response; its body is not decompressed.
+    """Return a parser for one response; it does not decompress the body.
 
     Args:
         loop: the running event loop.
-        body_buffer_bytes: size of the body's buffer; reading would pause beyond twice as much.
-        max_head_bytes: the longest line or field of the head that is accepted.
+        body_buffer_bytes: size of the body buffer; the parser pauses reading beyond twice this size.
+        max_head_bytes: maximum length of a line or a field of the head.
     """
     return HttpResponseParser(
         BaseProtocol(loop, parser=None),
@@ -60,11 +60,12 @@
 
 
 def make_request_factory(loop: asyncio.AbstractEventLoop, max_body_bytes: int) -> RequestFactory:
-    """Return what ``web.Server`` makes its requests with, so that their bodies have a limit.
+    """Return a request factory for ``web.Server`` that limits the size of request bodies.
 
     Args:
         loop: the running event loop.
-        max_body_bytes: ``read()`` of a request raises ``web.HTTPRequestEntityTooLarge`` beyond it.
+        max_body_bytes: maximum body size, beyond which ``read()`` of a request raises
+            ``web.HTTPRequestEntityTooLarge``.
     """
 
     def make_request(
@@ -80,25 +81,25 @@
 
 
 class InspectableRequestHandler(web.RequestHandler):
-    """aiohttp's protocol of a client's connection, with its state readable and its idle close deferrable."""
+    """aiohttp's protocol for a client connection, with readable state and a deferrable idle close."""
 
     def loop_time(self) -> float:
-        """Return the time of the connection's event loop, in seconds."""
+        """Return the time of the connection's event loop in seconds."""
         return self._loop.time()
 
     def is_waiting_for_request(self) -> bool:
-        """Whether no request is in progress and none has been read completely enough to begin."""
+        """Return whether no request is being handled and no complete head of one has been received."""
         return self._waiter is not None and not self._waiter.done()
 
     def has_queued_requests(self) -> bool:
-        """Whether a request has been read whose handling has not begun, such as a pipelined one."""
+        """Return whether a received request, such as a pipelined one, has not begun to be handled."""
         return bool(self._messages)
 
     def idle_close_delay_s(self, overdue_s: float) -> float:
-        """Return the seconds by which to defer the close of an idle connection; 0 closes it now.
+        """Return the seconds by which to defer the close of an idle connection; 0 closes it immediately.
 
         Args:
-            overdue_s: seconds since the keep-alive timeout has passed.
+            overdue_s: seconds since the keep-alive timeout expired.
         """
         return 0.0
 
--- a/storage_gateway/http/connection_tracker.py
+++ b/storage_gateway/http/connection_tracker.py
@@ -1,4 +1,4 @@
-"""The record of the clients' connections: how many there may be, and which of them can make room."""
+"""The open client connections: their limits, and which of them are evicted at the limit."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 from storage_gateway.http.client_connection import ClientConnection
 
-MIN_EVICTION_AGE_S = 0.03  # a younger connection's first request may still be on its way
+MIN_EVICTION_AGE_S = 0.03  # the first request of a younger connection may still be in transit
 
 
 class ConnectionTracker:
-    """The open connections of clients and their limits; it owns these three collections.
+    """Tracks the open client connections; only its methods change the three collections.
 
     Attributes:
-        open: all of them.
-        never_used: those without a request so far, the oldest first.
-        idle: those without a request in progress, the longest idle first.
-        max_connections: limit of all open connections.
-        max_idle_connections: limit of idle ones that have been used, beyond which each response ends its
-            connection.
+        open: all open connections.
+        never_used: connections without a request so far, the oldest first.
+        idle: connections without a request in progress, including those never used; the longest idle first.
+        max_connections: maximum number of open connections.
+        max_idle_connections: maximum number of idle connections that have carried a request; beyond it, each
+            response closes its connection.
     """
 
     def __init__(
@@ -27,15 +27,15 @@
         self.max_connections = max_connections
         self.max_idle_connections = max_idle_connections
         self.open: set[ClientConnection] = set()
-        self.never_used: dict[ClientConnection, None] = {}  # a dict, as an ordered set
+        self.never_used: dict[ClientConnection, None] = {}  # a dict used as an ordered set
         self.idle: dict[ClientConnection, None] = {}
         self._loop = loop
 
-    def has_capacity(self) -> bool:
-        """Whether one more connection may be accepted; at the limit, one that is idle is evicted for it.
+    def ensure_capacity(self) -> bool:
+        """Return whether one more connection may be accepted; at the limit, evict an idle one to make room.
 
-        The oldest that was never used goes first, then the longest idle. Where a flood has just reached the
-        limit none is old enough, and the kernel holds new connections for a moment.
+        The oldest connection that was never used is evicted first, then the longest idle one. Right after a
+        flood of connections reaches the limit, none is old enough and new ones wait in the kernel's backlog.
         """
         if len(self.open) < self.max_connections:
             return True
@@ -47,36 +47,36 @@
         return False
 
     def exceeds_idle_limit(self) -> bool:
-        """Whether there are too many idle connections that have been used.
+        """Return whether too many connections that have carried a request are idle.
 
-        Guards against clients that send one request and keep their connection for good: they would soon hold
-        all that clients can open, and the next would find none. Only idle connections count: amid a storm of
-        retries, new connections would cost the capacity that the responses need.
+        Without this limit, clients that send one request and keep their connection open would soon hold all
+        connections, and further clients would get none. Connections in use do not count: during a retry
+        storm, reconnecting clients would cost the capacity that the responses need.
         """
         return len(self.idle) - len(self.never_used) > self.max_idle_connections
 
     def add(self, connection: ClientConnection) -> None:
-        """Record a connection that was accepted."""
+        """Add a connection that was accepted."""
         self.open.add(connection)
         self.never_used[connection] = None
 
     def mark_idle(self, connection: ClientConnection) -> None:
-        """Note that no request is in progress on the connection."""
+        """Record that no request is in progress on the connection."""
         self.idle[connection] = None
 
     def mark_busy(self, connection: ClientConnection) -> None:
-        """Note that a request's head has come: the connection can't be evicted before its response."""
+        """Record that a request head was received: the connection is not evicted before the response."""
         self.never_used.pop(connection, None)
         self.idle.pop(connection, None)
 
-    def forget(self, connection: ClientConnection) -> None:
-        """Drop a connection that has ended."""
+    def remove(self, connection: ClientConnection) -> None:
+        """Remove a connection that has ended."""
         self.open.discard(connection)
         self.never_used.pop(connection, None)
         self.idle.pop(connection, None)
 
     def evict_idle(self) -> None:
-        """End all idle connections that can be closed without failing a request or cutting a response."""
+        """Evict all idle connections whose close neither fails a request nor truncates a response."""
         for connection in list(self.idle):
-            if connection.may_be_closed():
+            if connection.is_safe_to_close():
                 connection.evict()
--- a/storage_gateway/http/graceful_transport.py
+++ b/storage_gateway/http/graceful_transport.py
@@ -1,4 +1,4 @@
-"""A transport whose close lets the peer read what was written before the socket is closed."""
+"""A transport whose close lets the peer read all written data before the socket closes."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 class GracefulTransport(asyncio.Transport):
-    """Wraps a transport; ``close`` ends the sending side and goes on reading for some seconds.
+    """Wraps a transport; ``close`` shuts down the sending side and keeps reading for the linger time.
 
-    A socket that is closed while it holds unread bytes resets the connection, and the peer may then lose the
-    last response if it has not read it yet. The protocol must drop what arrives while ``is_closing()``.
+    Closing a socket that has unread data resets the connection, and the peer may then lose the last response
+    if it has not read it yet. The protocol must drop data that it receives while ``is_closing()``.
 
     Args:
         inner: the transport of the connection.
-        linger_s: seconds for the peer to read the last response and close.
-        max_flush_s: seconds after ``close`` at which data that the peer has not taken yet is given up.
+        linger_s: seconds that the peer has to read the last response and close.
+        max_flush_s: seconds after ``close`` at which buffered data is discarded that could not be sent.
     """
 
     def __init__(self, inner: asyncio.Transport, linger_s: float, max_flush_s: float) -> None:
@@ -28,7 +28,7 @@
         self._linger_timer: asyncio.TimerHandle | None = None
 
     def close(self) -> None:
-        """End the sending side once everything is written; close the socket after the linger time."""
+        """Shut down the sending side once all data is written; close the socket after the linger time."""
         if self.is_closing():
             return
         flush_deadline = self._loop.time() + self._max_flush_s
@@ -40,16 +40,16 @@
             self.abort()
 
     def abort(self) -> None:
-        """Close the socket at once; what has not been written is lost."""
+        """Close the socket immediately; buffered data is lost."""
         self._inner.abort()
 
     def connection_lost(self) -> None:
-        """Drop the timer; the protocol calls this when its connection has ended."""
+        """Cancel the linger timer; the protocol calls this when its connection has ended."""
         if self._linger_timer:
             self._linger_timer.cancel()
 
     def is_closing(self) -> bool:
-        """Whether the transport is closed or lingers."""
+        """Return whether the transport is closed or ``close`` was called."""
         return self._linger_timer is not None or self._inner.is_closing()
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
@@ -57,7 +57,7 @@
         return self._inner.get_extra_info(name, default)
 
     def get_write_buffer_size(self) -> int:
-        """Return the number of bytes that the kernel has not taken yet."""
+        """Return the number of buffered bytes that the kernel has not accepted yet."""
         return self._inner.get_write_buffer_size()
 
     def write(self, data: bytes | bytearray | memoryview[Any]) -> None:
@@ -69,7 +69,7 @@
         self._inner.writelines(list_of_data)
 
     def is_reading(self) -> bool:
-        """Whether the wrapped transport reads."""
+        """Return whether the wrapped transport is reading."""
         return self._inner.is_reading()
 
     def pause_reading(self) -> None:
--- a/storage_gateway/http/listener.py
+++ b/storage_gateway/http/listener.py
@@ -1,4 +1,4 @@
-"""A listening socket that leaves connections in the kernel's backlog while there is no capacity for them."""
+"""A listener that leaves connections in the kernel's backlog while there is no capacity for them."""
 
 from __future__ import annotations
 
@@ -6,27 +6,32 @@
 import socket
 from collections.abc import Callable
 
-from storage_gateway.http.sockets import readable
+from storage_gateway.http.sockets import is_readable
 
-MAX_ACCEPTS_PER_TURN = 32  # connections accepted in one turn of the event loop
-BACKLOG_LENGTH = 512  # connections that the kernel holds until they are accepted
+MAX_ACCEPTS_PER_ITERATION = 32  # connections accepted in one iteration of the event loop
+BACKLOG_LENGTH = 512  # connections that the kernel queues until they are accepted
 CAPACITY_POLL_INTERVAL_S = 0.01
 
 
 class Listener:
-    """Accepts a connection only when ``has_capacity()``; until then the kernel holds it.
+    """Accepts a connection only if ``has_capacity()``; until then the kernel queues it.
 
-    This bounds the file descriptors in use: asyncio's own listener accepts a whole backlog before any
+    This bounds the file descriptors in use: asyncio's own server accepts the whole backlog before any
     connection is counted, and pauses for a second once no descriptors are left.
 
     Args:
         host: address to listen on, IPv4 or IPv6.
-        port: TCP port; 0 lets the kernel choose one.
-        has_capacity: whether one more connection may be accepted.
-        make_protocol: makes the protocol of an accepted connection.
+        port: TCP port; 0 for one that the kernel chooses.
+        has_capacity: returns whether one more connection may be accepted.
+        protocol_factory: creates the protocol of an accepted connection.
+
+    Attributes:
+        loop: the running event loop.
+        socket: the listening socket.
+        resume_timer: resumes accepting; None unless accepting is paused.
 
     Raises:
-        OSError: if the address cannot be listened on.
+        OSError: if the socket cannot be bound to the address.
     """
 
     def __init__(
@@ -34,12 +39,12 @@
         host: str,
         port: int,
         has_capacity: Callable[[], bool],
-        make_protocol: Callable[[socket.socket], asyncio.Protocol],
+        protocol_factory: Callable[[socket.socket], asyncio.Protocol],
     ) -> None:
         self.loop = asyncio.get_running_loop()
-        self.resume_timer: asyncio.TimerHandle | None = None  # set while accepting is paused
+        self.resume_timer: asyncio.TimerHandle | None = None
         self._has_capacity = has_capacity
-        self._make_protocol = make_protocol
+        self._protocol_factory = protocol_factory
         self._connect_tasks: set[asyncio.Task[None]] = set()
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         self.socket = socket.create_server((host, port), family=family, backlog=BACKLOG_LENGTH)
@@ -47,9 +52,9 @@
         self._resume()
 
     def close(self) -> None:
-        """Accept what the kernel holds, as far as there is capacity, then stop listening.
+        """Accept the connections in the backlog as far as there is capacity, then stop listening.
 
-        Closing the socket resets every connection in its backlog, so those are accepted first.
+        Closing the socket resets the connections left in its backlog, so they are accepted first.
         """
         if self.resume_timer:
             self.resume_timer.cancel()
@@ -61,8 +66,8 @@
         self.loop.remove_reader(self.socket)
         self.socket.close()
 
-    async def closed(self) -> None:
-        """Wait, after ``close``, until every accepted connection has its protocol."""
+    async def wait_closed(self) -> None:
+        """Wait until every accepted connection is attached to its protocol; call it after ``close``."""
         if self._connect_tasks:
             await asyncio.wait(self._connect_tasks)
 
@@ -75,27 +80,27 @@
         self.resume_timer = self.loop.call_later(CAPACITY_POLL_INTERVAL_S, self._resume)
 
     def _accept(self) -> None:
-        for _ in range(MAX_ACCEPTS_PER_TURN):
-            if not readable(self.socket.fileno()):
+        for _ in range(MAX_ACCEPTS_PER_ITERATION):
+            if not is_readable(self.socket.fileno()):
                 return
             if not self._has_capacity():
                 self._pause()
                 return
             try:
-                connection, _ = self.socket.accept()
+                accepted_socket, _ = self.socket.accept()
             except BlockingIOError:
                 return
-            except OSError:  # no descriptor is left, for example
+            except OSError:  # for example, no file descriptor is left
                 self._pause()
                 return
-            protocol = self._make_protocol(connection)
-            task = self.loop.create_task(self._connect(protocol, connection))
+            protocol = self._protocol_factory(accepted_socket)
+            task = self.loop.create_task(self._connect(protocol, accepted_socket))
             self._connect_tasks.add(task)
             task.add_done_callback(self._connect_tasks.discard)
 
-    async def _connect(self, protocol: asyncio.Protocol, connection: socket.socket) -> None:
+    async def _connect(self, protocol: asyncio.Protocol, accepted_socket: socket.socket) -> None:
         try:
-            await self.loop.connect_accepted_socket(lambda: protocol, connection)
+            await self.loop.connect_accepted_socket(lambda: protocol, accepted_socket)
         except OSError as error:
-            connection.close()
+            accepted_socket.close()
             protocol.connection_lost(error)
--- a/storage_gateway/http/node_client.py
+++ b/storage_gateway/http/node_client.py
@@ -1,4 +1,4 @@
-"""The client of the storage nodes: one attempt is one exchange, and its result says what that proves."""
+"""The client of the storage nodes; the result of an attempt says whether the node may have executed it."""
 
 from __future__ import annotations
 
@@ -14,17 +14,22 @@
 from storage_gateway.lifecycle import AttemptResult
 from storage_gateway.policy_api import AttemptOutcome
 
-IDLE_TIMEOUT_FRACTION = 0.5  # of the nodes' idle timeout, after which a pooled connection is closed
+IDLE_TIMEOUT_FRACTION = 0.5  # of the nodes' idle timeout, after which pooled connections are closed
 
 
 class NodeClient:
     """Makes attempts at the registry's endpoints, over pooled connections.
 
     Args:
-        registry: the endpoints; a change retires the pool of its node.
-        connect_timeout_s: seconds for a connection to come up.
+        registry: the endpoints; a change of an endpoint retires its connection pool.
+        connect_timeout_s: maximum seconds to open a connection.
         idle_close_s: seconds after which the nodes close an idle connection.
         max_connections: number of connections to all nodes beyond which idle ones are closed.
+
+    Attributes:
+        pools: the connection pool of each node, by the node's id in the registry.
+        dials: connections that were opened or failed to open since the last status line.
+        dial_failures: those of them that failed to open.
     """
 
     def __init__(
@@ -35,7 +40,7 @@
         max_connections: int,
     ) -> None:
         self.pools: dict[int, ConnectionPool] = {}
-        self.dials = 0  # since the last status line
+        self.dials = 0
         self.dial_failures = 0
         self._registry = registry
         self._connect_timeout_s = connect_timeout_s
@@ -46,21 +51,21 @@
 
     @property
     def open_connections(self) -> int:
-        """The number of connections to all nodes: in use, idle or being opened."""
+        """Number of connections to all nodes that are in use, idle or being opened."""
         return self._connection_count.open
 
     async def attempt(
         self, node: int, request: ClientRequest, time_left: Callable[[], float]
     ) -> AttemptResult[bytes]:
-        """Send the request to the node, once.
+        """Send the request to the node once.
 
         Args:
             node: the node's id in the registry.
             request: the client's request.
-            time_left: returns the seconds that remain for the attempt, 0 once nobody waits for it.
+            time_left: returns the seconds that remain for the attempt, 0 if the client has disconnected.
 
         Returns:
-            The result; only an outcome that proves it says that the node has not executed the request.
+            The result. Its outcome says that the node has not executed the request only if that is certain.
         """
         if not self._registry.is_serving(node):
             return AttemptResult(AttemptOutcome.NOT_SENT)
@@ -72,19 +77,21 @@
         self._connection_count.open += 1
         try:
             connection = pool.acquire() or await self.dial(pool)
-            # The last check before the first byte: the node may have begun to drain, or the client may have
-            # left, while the connection came up.
+            # Last check before the first byte is written: while the connection was opened, the node may have
+            # begun to drain, or the client may have disconnected.
             time_left_s = time_left()
             if pool.is_retired or time_left_s <= 0:
-                is_reusable = True  # it was not used; a retired pool does not take it back
+                is_reusable = True  # the connection is unused; a retired pool does not take it back
                 return AttemptResult(AttemptOutcome.NOT_SENT)
             try:
                 response = await connection.exchange(encode_attempt(request, pool.address, time_left_s))
             except InvalidResponseError:
-                # A node does not run a request that has not come whole.
-                unsent = connection.has_unsent_data
+                # A node does not execute a request that it has not received completely.
+                request_is_incomplete = connection.has_unsent_data
                 return AttemptResult(
-                    AttemptOutcome.CONNECT_FAILED if unsent else AttemptOutcome.CONNECTION_RESET
+                    AttemptOutcome.CONNECT_FAILED
+                    if request_is_incomplete
+                    else AttemptOutcome.CONNECTION_RESET
                 )
             is_reusable = response.is_reusable
             return _decode_result(response)
@@ -97,12 +104,12 @@
         """Open a connection to the pool's endpoint.
 
         Raises:
-            OSError: if the node refuses it or cannot be reached.
-            TimeoutError: if it does not come up in time.
+            OSError: if the node refuses the connection or cannot be reached.
+            TimeoutError: if the connection does not open within the connect timeout.
         """
-        # There are as many connections as clients can have requests: at the limit an idle one is in the way.
+        # The limit allows one connection for each request that clients can have: beyond it, one is idle.
         if self._connection_count.open > self._max_connections:
-            self._close_an_idle_connection()
+            self._close_idle_connection()
         self.dials += 1
         loop = asyncio.get_running_loop()
         address = pool.address
@@ -115,7 +122,7 @@
         return connection
 
     def status_fields(self) -> dict[str, object]:
-        """Return fields for the status line: connections, and those dialled since the last call."""
+        """Return the fields of the status line: open connections, and dials since the last call."""
         fields: dict[str, object] = {
             "connections": self._connection_count.open,
             "dials": self.dials,
@@ -126,7 +133,7 @@
         return fields
 
     def close(self) -> None:
-        """Close the idle connections; those in use end with their exchange."""
+        """Close the idle connections; connections in use close after their exchange."""
         for node in list(self.pools):
             self._retire_pool(node)
 
@@ -137,7 +144,7 @@
         return pool
 
     def _retire_pool(self, node: int) -> None:
-        """The endpoint drains, went or started anew: no connection to its old life is used again."""
+        """Retire the pool of an endpoint that drains, was removed or restarted; no connection is reused."""
         pool = self.pools.pop(node, None)
         if pool is not None:
             pool.retire()
@@ -150,10 +157,10 @@
         if connection:
             connection.abort()
 
-    def _close_an_idle_connection(self) -> None:
+    def _close_idle_connection(self) -> None:
         for pool in self.pools.values():
             if pool.idle:
-                pool.close_oldest()
+                pool.close_longest_idle()
                 return
 
 
--- a/storage_gateway/http/server.py
+++ b/storage_gateway/http/server.py
@@ -1,4 +1,4 @@
-"""The HTTP server towards clients, on aiohttp's low-level server; every decision is the policy's."""
+"""The HTTP server for clients, built on aiohttp's low-level server; the policy makes all decisions."""
 
 from __future__ import annotations
 
@@ -23,24 +23,24 @@
 REQUEST_PATH = "/api"
 READINESS_PATH = "/up"
 METHODS = ("GET", "PUT")
-BODY_TIMEOUT_S = 1.5  # for a request's body to come
+BODY_TIMEOUT_S = 1.5  # for the body of a request to arrive
 
 
 class HttpServer:
-    """One listener, the clients' connections and the life of each request.
+    """Accepts client connections and handles each request from its head to its response.
 
     Args:
         config: the gateway's configuration.
-        executor: runs each request as the policy says.
+        executor: executes each request as the policy decides.
         node_client: makes the attempts.
-        ready: whether this gateway instance may be sent requests.
+        is_ready: returns whether clients may send requests to this gateway instance.
 
     Attributes:
-        address: the address listened on; once ``listen`` was called, with the port that the kernel chose.
-        connections: the clients' connections.
-        trace_ids: the trace ids that no other request may use for now.
-        listener: None before ``listen``.
-        is_closing: whether each response ends its connection.
+        address: the address to listen on; after ``listen``, with the port that the kernel chose.
+        connections: the open client connections.
+        trace_ids: the trace ids in use.
+        listener: accepts the connections; None before ``listen``.
+        is_closing: whether ``close`` was called; each response then closes its connection.
     """
 
     def __init__(
@@ -48,12 +48,12 @@
         config: GatewayConfig,
         executor: RequestExecutor,
         node_client: NodeClient,
-        ready: Callable[[], bool],
+        is_ready: Callable[[], bool],
     ) -> None:
         self.config = config
         self.executor = executor
         self.node_client = node_client
-        self.ready = ready
+        self.is_ready = is_ready
         self.address = config.listen
         self.is_closing = False
         self.listener: Listener | None = None
@@ -65,25 +65,25 @@
         self._aiohttp_server = web.Server(
             self._handle,
             request_factory=make_request_factory(executor.loop, MAX_BODY_BYTES),
-            handler_cancellation=True,  # the request of a client that closes is cancelled
+            handler_cancellation=True,  # cancel the request of a client that disconnects
         )
 
     def listen(self) -> None:
-        """Start to accept connections.
+        """Start accepting connections.
 
         Raises:
-            OSError: if the configured address cannot be listened on.
+            OSError: if the server cannot listen on the configured address.
         """
         self.listener = Listener(
-            self.address.host, self.address.port, self.connections.has_capacity, self._make_connection
+            self.address.host, self.address.port, self.connections.ensure_capacity, self._make_connection
         )
         host, port = self.listener.socket.getsockname()[:2]
         self.address = Address(host, port)
 
     async def close(self) -> None:
-        """Accept no more connections and end idle ones; return when all requests have their response.
+        """Stop accepting connections and close idle ones; return once all requests have their response.
 
-        That holds for requests in progress and for those whose first bytes have come.
+        This includes requests in progress and requests whose first bytes have arrived.
         """
         self.is_closing = True
         if self.listener:
@@ -92,36 +92,38 @@
             self.connections.evict_idle()
             await asyncio.sleep(CLOSE_RETRY_INTERVAL_S)
         if self.listener:
-            await self.listener.closed()
+            await self.listener.wait_closed()
 
     def status_fields(self) -> dict[str, object]:
-        """Return fields for the status line: the clients' connections."""
+        """Return the fields of the status line: the numbers of open and of idle client connections."""
         return {"clients": len(self.connections.open), "clients_idle": len(self.connections.idle)}
 
-    def _make_connection(self, connection: socket.socket) -> ClientConnection:
-        client = ClientConnection(self._aiohttp_server, self.connections, connection, self.executor.loop)
-        self.connections.add(client)
-        return client
+    def _make_connection(self, client_socket: socket.socket) -> ClientConnection:
+        connection = ClientConnection(
+            self._aiohttp_server, self.connections, client_socket, self.executor.loop
+        )
+        self.connections.add(connection)
+        return connection
 
     async def _handle(self, request: web.BaseRequest) -> web.Response:
-        """Handle one request of a connection, from its complete head to its response."""
-        client = request.protocol
-        assert isinstance(client, ClientConnection)
-        client.begin_request()
+        """Handle one request, from its complete head to its response."""
+        connection = request.protocol
+        assert isinstance(connection, ClientConnection)
+        connection.begin_request()
         try:
-            response = await self._respond(request, client)
+            response = await self._respond(request, connection)
         finally:
-            client.end_request()
+            connection.end_request()
         if (
             self.is_closing
             or self.connections.exceeds_idle_limit()
             or not request.content.is_eof()
-            or client.has_queued_requests()
+            or connection.has_queued_requests()
         ):
-            response.force_close()  # the response announces it, so that no next request crosses the close
+            response.force_close()  # announced in the response, so that no further request crosses the close
         return response
 
-    async def _respond(self, request: web.BaseRequest, client: ClientConnection) -> web.Response:
+    async def _respond(self, request: web.BaseRequest, connection: ClientConnection) -> web.Response:
         arrived_at = self.executor.now()
         early_response = self._respond_to_head(request)
         if early_response is not None:
@@ -138,15 +140,15 @@
             return web.Response(status=HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
         except ProtocolError as error:
             return _bad_request(str(error))
-        if client.has_queued_requests():
-            return _bad_request("one request at a time")
-        client.request_is_complete = True
-        return await self._execute(client_request, arrived_at, client)
+        if connection.has_queued_requests():
+            return _bad_request("expected one request at a time on a connection, found a pipelined one")
+        connection.request_is_complete = True
+        return await self._execute(client_request, arrived_at, connection)
 
     def _respond_to_head(self, request: web.BaseRequest) -> web.Response | None:
-        """Return the response to a request that needs no more than its head; None to others."""
+        """Return the response to a request that can be answered from its head alone, else None."""
         if request.path == READINESS_PATH:
-            status = HTTPStatus.OK if self.ready() else HTTPStatus.SERVICE_UNAVAILABLE
+            status = HTTPStatus.OK if self.is_ready() else HTTPStatus.SERVICE_UNAVAILABLE
             return web.Response(status=status)
         # An absolute URI in the request line is meant for a proxy, which this server is not.
         if request.path != REQUEST_PATH or not request.raw_path.startswith("/"):
@@ -154,20 +156,20 @@
         if request.method not in METHODS:
             return web.Response(status=HTTPStatus.METHOD_NOT_ALLOWED)
         if (request.content_length or 0) > MAX_BODY_BYTES:
-            return web.Response(status=HTTPStatus.REQUEST_ENTITY_TOO_LARGE)  # without reading any of it
+            return web.Response(status=HTTPStatus.REQUEST_ENTITY_TOO_LARGE)  # without reading the body
         return None
 
     async def _execute(
-        self, client_request: ClientRequest, arrived_at: float, client: ClientConnection
+        self, client_request: ClientRequest, arrived_at: float, connection: ClientConnection
     ) -> web.Response:
-        """Run one request through the executor; an attempt is one exchange with a storage node."""
-        if not self.trace_ids.reserve(client_request.trace_id, arrived_at):
-            return _bad_request("X-Trace-Id: taken")
+        """Execute one request; each attempt is one exchange with a storage node."""
+        if not self.trace_ids.acquire(client_request.trace_id, arrived_at):
+            return _bad_request("X-Trace-Id: already used by a request that is in progress or has just ended")
         request_id = self.executor.new_request_id()
         arrival = client_request.to_arrival(request_id, arrived_at + client_request.timeout_s)
 
         def time_left() -> float:
-            return 0.0 if client.client_has_closed() else self.executor.attempt_time_left(request_id)
+            return 0.0 if connection.client_has_closed() else self.executor.attempt_time_left(request_id)
 
         async def attempt(node: int) -> AttemptResult[bytes]:
             return await self.node_client.attempt(node, client_request, time_left)
--- a/storage_gateway/http/sockets.py
+++ b/storage_gateway/http/sockets.py
@@ -1,4 +1,4 @@
-"""What the kernel knows of a socket at this moment, which the event loop may not have read yet."""
+"""Queries of the kernel's state of a socket, which may be ahead of what the event loop has read."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 _PEER_CLOSED_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR | select.POLLNVAL
 
 
-def readable(descriptor: int) -> bool:
-    """Whether a read of the descriptor would return at once: with data, an end of file or an error.
+def is_readable(descriptor: int) -> bool:
+    """Return whether a read would not block: there is data, an end of file or an error.
 
-    For a listening socket: whether a connection waits to be accepted.
+    For a listening socket, return whether a connection waits to be accepted.
     """
     poller = select.poll()
     poller.register(descriptor, select.POLLIN)
@@ -20,22 +20,22 @@
 
 
 def has_unread_data(transport: asyncio.Transport) -> bool:
-    """Whether data or the peer's end of file has arrived that the event loop has not read yet."""
-    return readable(transport.get_extra_info("socket").fileno())
+    """Return whether data or an end of file has arrived that the event loop has not read yet."""
+    return is_readable(transport.get_extra_info("socket").fileno())
 
 
-def peer_has_closed(connection: socket.socket) -> bool:
-    """Whether the peer has closed or reset the connection, even if the event loop has not read that yet.
+def peer_has_closed(connected_socket: socket.socket) -> bool:
+    """Return whether the peer has closed or reset the connection, even if the event loop has not read it.
 
-    Unread data is not an end, but an end behind unread data is reported too.
+    Unread data alone does not count; a close that follows unread data does.
 
     Args:
-        connection: a connected, non-blocking socket.
+        connected_socket: a connected, non-blocking socket.
     """
-    if connection.fileno() < 0:
+    if connected_socket.fileno() < 0:
         return True
     poller = select.poll()
-    poller.register(connection, select.POLLIN | select.POLLRDHUP)
+    poller.register(connected_socket, select.POLLIN | select.POLLRDHUP)
     polled = poller.poll(0)
     if not polled:
         return False
@@ -43,7 +43,7 @@
     if events & _PEER_CLOSED_EVENTS:
         return True
     try:
-        return not connection.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
+        return not connected_socket.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
         return False
     except OSError:
--- a/storage_gateway/http/trace_ids.py
+++ b/storage_gateway/http/trace_ids.py
@@ -1,11 +1,11 @@
-"""The trace ids that no other request may use for now."""
+"""The trace ids in use, which further requests must not have."""
 
 from __future__ import annotations
 
 from collections import deque
 from typing import NamedTuple
 
-RESERVED_AFTER_RESPONSE_S = 2.0  # for this long after its response an id is still in use
+RELEASE_DELAY_S = 2.0  # time after the response for which an id remains in use
 
 
 class _Expiry(NamedTuple):
@@ -14,25 +14,28 @@
 
 
 class TraceIdRegistry:
-    """Ids of requests in progress and of those that ended a moment ago.
+    """Tracks the trace ids of requests in progress, and of ended ones for ``RELEASE_DELAY_S``.
 
-    A request with such an id would run a request twice that is in progress, or just was. Times are Unix time
-    in seconds.
+    Accepting another request with such an id would execute a request again that is in progress or has just
+    ended. Times are Unix time in seconds.
+
+    Attributes:
+        in_use: the ids that a new request must not have.
     """
 
     def __init__(self) -> None:
-        self.reserved: set[str] = set()
-        self._expiries: deque[_Expiry] = deque()  # of ended requests, the first to expire first
+        self.in_use: set[str] = set()
+        self._expiries: deque[_Expiry] = deque()  # of ended requests, the earliest first
 
-    def reserve(self, trace_id: str, now: float) -> bool:
-        """Reserve the id for a request that arrived at ``now``; False if another one holds it."""
+    def acquire(self, trace_id: str, now: float) -> bool:
+        """Mark the id as in use by a request that arrived at ``now``; return False if it already is."""
         while self._expiries and self._expiries[0].expires_at <= now:
-            self.reserved.discard(self._expiries.popleft().trace_id)
-        if trace_id in self.reserved:
+            self.in_use.discard(self._expiries.popleft().trace_id)
+        if trace_id in self.in_use:
             return False
-        self.reserved.add(trace_id)
+        self.in_use.add(trace_id)
         return True
 
     def release(self, trace_id: str, now: float) -> None:
-        """Note that the id's request ended at ``now``; the id stays reserved for a moment."""
-        self._expiries.append(_Expiry(now + RESERVED_AFTER_RESPONSE_S, trace_id))
+        """Record that the request of the id ended at ``now``; the id is free ``RELEASE_DELAY_S`` later."""
+        self._expiries.append(_Expiry(now + RELEASE_DELAY_S, trace_id))
--- a/tests/http/test_response_parser.py
+++ b/tests/http/test_response_parser.py
@@ -1,4 +1,4 @@
-"""Which bytes of a storage node are a response, and which connections are used again after it."""
+"""Which data of a storage node is a valid response, and after which the connection is reused."""
 
 from __future__ import annotations
 
@@ -17,7 +17,8 @@
 class ResponseParserTest(HttpServerCase):
     """Responses of a scripted node, each read by one attempt."""
 
-    async def test_invalid_response_is_a_reset_that_may_have_run_and_ends_its_connection(self) -> None:
+    async def test_invalid_response_is_a_connection_reset_and_closes_the_connection(self) -> None:
+        """The node may have executed the request, so the outcome must not rule that out."""
         good = make_response()
         invalid = [
             b"\x00\xffnoise",
@@ -53,26 +54,26 @@
         assert self.node.accepted == len(invalid)
         assert self.node_client.open_connections == 0
 
-    async def test_complete_response_is_served_whatever_comes_with_it_and_nothing_else(self) -> None:
+    async def test_only_the_complete_response_is_served_whatever_comes_before_or_after_it(self) -> None:
         good = make_response(
             200, b"tile", "Endpoint-Load-Metrics: \x01 queue=\x7f", "X-Served-Elsewhere: -1e999"
         )
         chunked = CHUNKED_HEAD + b"\r\n2\r\nti\r\n2\r\nle\r\n0\r\n\r\n"
         interim = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: tea\r\n\r\n"
-        noise = b"\x00noise"
-        large = make_response(200, b"tile" * 70_000)  # nodes send more than a request may hold
+        invalid_data = b"\x00noise"
+        large = make_response(200, b"tile" * 70_000)  # larger than the limit for request bodies
         reusable = [interim + good, chunked, large]
-        with_surplus = [good + good, good + noise, chunked + noise, chunked + good]
-        responses = reusable + with_surplus
+        with_trailing_data = [good + good, good + invalid_data, chunked + invalid_data, chunked + good]
+        responses = reusable + with_trailing_data
 
         async def respond(trace_id: str) -> bytes:
             return responses[int(trace_id)]
 
         await self.start_server(respond)
-        with mock.patch.object(pool, "SETTLE_TIME_S", 0.0):
+        with mock.patch.object(pool, "REUSE_DELAY_S", 0.0):
             for index, response in enumerate(responses):
                 result = await self.node_client.attempt(NODE, make_client_request(str(index)), lambda: 1.0)
                 body = b"tile" * 70_000 if response is large else b"tile"
                 assert result == AttemptResult(AttemptOutcome.SERVED, body)
                 is_reusable = index < len(reusable)
-                assert self.node_client.open_connections == int(is_reusable), "surplus ends the connection"
+                assert self.node_client.open_connections == int(is_reusable), "trailing data must close it"
--- a/tests/http/test_server.py
+++ b/tests/http/test_server.py
@@ -1,4 +1,4 @@
-"""One request through the HTTP server, against scripted nodes."""
+"""Requests through the HTTP server to a scripted node."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 class HttpServerTest(HttpServerCase):
     """Requests and their responses."""
 
-    async def test_request_and_response_pass_unchanged(self) -> None:
+    async def test_request_and_response_are_forwarded_unchanged(self) -> None:
         async def respond(trace_id: str) -> bytes:
             return make_response(200, b"\x00tile of " + trace_id.encode())
 
@@ -27,21 +27,21 @@
         assert "X-Trace-Id: t1\r\n" in head
         assert "Accept-Encoding" not in head
 
-    async def test_request_on_a_pooled_connection_that_breaks_is_not_resent_by_the_library(self) -> None:
+    async def test_request_on_a_pooled_connection_that_breaks_is_not_resent_by_the_http_client(self) -> None:
         async def respond(trace_id: str) -> bytes | None:
             return None if trace_id == "broken" else make_response()
 
         await self.start_server(respond)
         await self.send_request("warm")
-        self.node_client.pools[NODE].idle[0].settled_at = 0.0
+        self.node_client.pools[NODE].idle[0].reusable_at = 0.0
 
         status, _ = await self.send_request("broken", "PUT", b"scan")
 
         assert status == 502
         assert self.node.counts["broken"] == 1
-        assert self.node.accepted == 1, "the broken one was the pooled connection"
+        assert self.node.accepted == 1, "the request must use the pooled connection"
 
-    async def test_write_that_was_rejected_unrun_is_sent_again(self) -> None:
+    async def test_write_that_the_node_rejected_unexecuted_is_retried(self) -> None:
         async def respond(trace_id: str) -> bytes:
             if self.node.counts[trace_id] > 1:
                 return make_response()
@@ -52,7 +52,7 @@
         assert (await self.send_request("t", "PUT", b"scan"))[0] == 200
         assert self.node.counts["t"] == 2
 
-    async def test_503_without_proof_is_no_rejection_of_a_write(self) -> None:
+    async def test_503_without_never_ran_header_is_no_rejection_of_a_write(self) -> None:
         async def respond(trace_id: str) -> bytes:
             return make_response(503, b"")
 
@@ -61,7 +61,7 @@
         assert (await self.send_request("t", "PUT", b"scan"))[0] == 502
         assert self.node.counts["t"] == 1
 
-    async def test_unresponsive_node_costs_one_attempt_and_the_response_beats_the_deadline(self) -> None:
+    async def test_unresponsive_node_gets_one_attempt_and_the_client_a_response_in_time(self) -> None:
         await self.start_server(never_respond)
         started_at = self.executor.now()
 
@@ -72,13 +72,13 @@
         assert self.node.counts["t"] == 1
         await self.wait_until(lambda: self.node.open == 0)  # the cancelled attempt's connection is closed
 
-    async def test_client_with_hardly_any_time_left_is_still_told_that_nothing_was_sent(self) -> None:
+    async def test_request_with_almost_no_time_left_is_rejected_without_an_attempt(self) -> None:
         await self.start_server(never_respond)
 
         assert (await self.send_request("t", "PUT", b"scan", {"X-Expires-In-Ms": "1"}))[0] == 503
         assert self.node.accepted == 0
 
-    async def test_client_that_announces_minutes_gets_no_longer_than_its_class(self) -> None:
+    async def test_client_timeout_is_capped_by_that_of_the_request_class(self) -> None:
         await self.start_server(never_respond)
         self.server.config.client_timeouts_s[1] = 0.3
 
@@ -87,7 +87,7 @@
 
         assert status == 502
 
-    async def test_client_that_leaves_cancels_its_attempt(self) -> None:
+    async def test_client_that_disconnects_cancels_its_attempt(self) -> None:
         await self.start_server(never_respond)
         sending = asyncio.create_task(self.send_request("t", changes={"X-Expires-In-Ms": "60000"}))
         await self.wait_until(lambda: self.node.counts["t"])
@@ -108,7 +108,7 @@
         assert self.executor.now() - started_at < 1.4  # not queued until the deadline
         assert self.node.accepted == 0
 
-    async def test_trace_id_in_use_is_an_error_without_harm_to_the_first_request(self) -> None:
+    async def test_trace_id_in_use_is_rejected_without_affecting_the_first_request(self) -> None:
         release = asyncio.Event()
 
         async def respond(trace_id: str) -> bytes:
@@ -122,14 +122,14 @@
 
         release.set()
         assert (await first)[0] == 200
-        assert (await self.send_request("t"))[0] == 400, "nor just after it"
+        assert (await self.send_request("t"))[0] == 400, "the id is still in use just after its request"
         assert self.node.counts["t"] == 1
 
         with mock.patch.object(self.executor, "clock_offset_s", self.executor.clock_offset_s + 60):
             await self.send_request("u")
-        assert self.server.trace_ids.reserved == {"u"}, "ids are forgotten in the end"
+        assert self.server.trace_ids.in_use == {"u"}, "the id of the ended request must expire"
 
-    async def test_up_says_when_the_gateway_is_ready(self) -> None:
+    async def test_readiness_path_reports_whether_the_gateway_is_ready(self) -> None:
         await self.start_server(respond_at_once)
         for is_ready, status in ((False, 503), (True, 200)):
             self.is_ready = is_ready
