--- a/tests/http/test_aiohttp_internals.py
+++ b/tests/http/test_aiohttp_internals.py
@@ -1,4 +1,4 @@
-"""The uses of aiohttp that its documentation does not promise, against the installed version."""
+"""The undocumented parts of aiohttp that are used, checked against the installed version."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 
 
 class TestAiohttpInternals:
-    """What ``aiohttp_internals`` says of aiohttp."""
+    """The assumptions of ``aiohttp_internals`` about aiohttp."""
 
-    def test_installed_version_is_the_pinned_one_that_was_read(self) -> None:
+    def test_installed_version_is_the_pinned_and_verified_one(self) -> None:
         assert aiohttp.__version__ == aiohttp_internals.AIOHTTP_VERSION
         assert (
             f"aiohttp=={aiohttp_internals.AIOHTTP_VERSION}" in (ROOT / "requirements.txt").read_text().split()
--- a/tests/http/test_attempt_deadline.py
+++ b/tests/http/test_attempt_deadline.py
@@ -1,4 +1,4 @@
-"""Attempts that would begin, or end, at the edge of the time that they have."""
+"""Attempts whose deadline passes before they begin or just as they end."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 class AttemptDeadlineTest(HttpServerCase):
-    """Time passes while a connection to the node comes up."""
+    """Deadlines that pass while an attempt is opening its connection or in progress."""
 
-    async def test_attempt_does_not_begin_past_its_client_s_deadline(self) -> None:
+    async def test_attempt_does_not_begin_after_the_client_deadline(self) -> None:
         await self.start_server(respond_at_once)
 
         with self.after_dial(lambda: self.advance_clock(2.0)):
@@ -24,13 +24,13 @@
         assert status != 200
         assert self.node.counts["t"] == 0
 
-    async def test_request_with_a_key_is_not_retried_past_its_idempotency_window(self) -> None:
-        """Its second attempt is decided inside the window, but its connection comes up past it."""
+    async def test_request_with_a_key_is_not_retried_after_its_idempotency_window(self) -> None:
+        """The second attempt is decided within the window, but its connection opens after it."""
 
-        async def break_off(trace_id: str) -> bytes | None:
-            return None  # it may have run
+        async def close_connection(trace_id: str) -> bytes | None:
+            return None  # the node may have executed the request
 
-        await self.start_server(break_off)
+        await self.start_server(close_connection)
         request_class = self.executor.policy.settings.classes[0]
         request_class.repeatability = api.Repeatability.IDEMPOTENT_WITH_KEY
         request_class.idempotency_window_s = 0.5
@@ -48,7 +48,7 @@
         assert self.node.counts["t"] == 1
         assert len(dial_times) == 2
 
-    async def test_cancellation_that_meets_the_attempt_s_own_timer_harms_no_other_request(self) -> None:
+    async def test_cancellation_at_the_attempt_timeout_does_not_affect_other_requests(self) -> None:
         await self.start_server(respond_at_once)
         arrival = api.RequestArrived("t", 0, 0, 1, 1, 0, 1.0, self.executor.now() + 60, 1)
         other_actions: asyncio.Queue[Any] = asyncio.Queue()
@@ -56,7 +56,7 @@
         async def attempt(node: int) -> AttemptResult[bytes]:
             pending_request = self.executor.pending["t"]
             assert pending_request.attempt_timer
-            # It fires; the policy cancels the attempt before this task is woken by it.
+            # The timer fires, and the policy cancels the attempt before the timer wakes this task.
             pending_request.attempt_timer.reschedule(0.0)
             asyncio.get_running_loop().call_soon(self.executor.step)
             await asyncio.sleep(60)
--- a/tests/http/test_client_disconnect.py
+++ b/tests/http/test_client_disconnect.py
@@ -1,4 +1,4 @@
-"""Clients that leave before their response: no attempt begins for them."""
+"""Clients that disconnect before their response: no attempt begins for them."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class DisconnectBeforeAttemptTest(HttpServerCase):
-    """The client leaves between the decision to send and the first byte."""
+    """The client disconnects between the decision to send an attempt and its first byte."""
 
     async def disconnect_after_dial(self, disconnect: Callable[[socket.socket], Any]) -> None:
         await self.start_server(respond_at_once)
@@ -32,32 +32,32 @@
             await self.wait_until(lambda: self.node_client.dials and not self.executor.pending)
         assert self.node.counts["t"] == 0
 
-    async def test_no_attempt_begins_for_a_client_that_has_just_closed(self) -> None:
+    async def test_no_attempt_begins_after_the_client_closes_its_connection(self) -> None:
         await self.disconnect_after_dial(socket.socket.close)
 
-    async def test_nor_for_one_that_has_just_reset_its_connection(self) -> None:
+    async def test_no_attempt_begins_after_the_client_resets_its_connection(self) -> None:
         await self.disconnect_after_dial(reset_connection)
 
-    async def test_nor_for_one_that_has_just_ended_its_sending(self) -> None:
+    async def test_no_attempt_begins_after_the_client_shuts_down_its_sending_side(self) -> None:
         await self.disconnect_after_dial(lambda client: client.shutdown(socket.SHUT_WR))
 
-    async def test_nor_does_a_retry_begin(self) -> None:
+    async def test_no_retry_begins_after_the_client_closes_its_connection(self) -> None:
         async def respond(trace_id: str) -> bytes:
             client.close()
             return make_response(503, b"", "X-Never-Ran: 1", "Connection: close")
 
         await self.start_server(respond)
         client = self.open_socket()
-        with mock.patch.object(self.executor.policy.health, "update"):  # the next attempt is due at once
+        with mock.patch.object(self.executor.policy.health, "update"):  # so that the retry is due at once
             client.sendall(encode_request("t"))
             await self.wait_until(lambda: self.node.counts["t"] and not self.executor.pending)
         assert self.node.counts["t"] == 1
 
 
 class DisconnectWhileQueuedTest(HttpServerCase):
-    """The client leaves while the policy holds its request."""
+    """The client disconnects while the policy queues its request."""
 
-    async def test_client_that_leaves_while_its_request_is_queued_is_cancelled_at_once(self) -> None:
+    async def test_client_that_disconnects_while_its_request_is_queued_cancels_it(self) -> None:
         await self.start_server(respond_at_once)
         self.server.config.client_timeouts_s[0] = 60.0
         client = self.open_socket()
@@ -75,17 +75,17 @@
         assert self.executor.pending == {}
         assert self.node.accepted == 0
 
-    async def test_client_that_leaves_in_the_turn_of_the_send_action_frees_its_slot(self) -> None:
+    async def test_disconnect_in_the_loop_iteration_of_the_send_action_frees_the_slot(self) -> None:
         await self.start_server(respond_at_once)
         arrival = api.RequestArrived("t", 0, 0, 1, 1, 0, 1.0, self.executor.now() + 60, 1)
-        serving = asyncio.create_task(self.executor.execute(arrival, mock.AsyncMock()))
+        executing = asyncio.create_task(self.executor.execute(arrival, mock.AsyncMock()))
         original_step = self.executor.step
         cancelled: list[bool] = []
 
         def step() -> None:
             original_step()
             if "t" in self.executor.pending and not self.executor.pending["t"].actions.empty():
-                cancelled.append(serving.cancel())
+                cancelled.append(executing.cancel())
 
         with mock.patch.object(self.executor, "step", step):
             await self.wait_until(
@@ -98,14 +98,14 @@
 
 
 class PeerHasClosedTest(HttpServerCase):
-    """The look at the kernel's state of a socket."""
-
-    async def test_bytes_behind_a_request_are_no_end_but_an_end_behind_them_is_seen(self) -> None:
-        ours, theirs = socket.socketpair(socket.AF_UNIX)
-        ours.setblocking(False)
-        self.addCleanup(ours.close)
-        assert not peer_has_closed(ours)
-        theirs.sendall(b"more")
-        assert not peer_has_closed(ours)
-        theirs.close()
-        assert peer_has_closed(ours)
+    """``peer_has_closed`` on a socket with unread data."""
+
+    async def test_unread_data_alone_is_no_close_but_a_close_after_it_is_detected(self) -> None:
+        local_socket, peer_socket = socket.socketpair(socket.AF_UNIX)
+        local_socket.setblocking(False)
+        self.addCleanup(local_socket.close)
+        assert not peer_has_closed(local_socket)
+        peer_socket.sendall(b"more")
+        assert not peer_has_closed(local_socket)
+        peer_socket.close()
+        assert peer_has_closed(local_socket)
--- a/tests/http/test_connection_tracker.py
+++ b/tests/http/test_connection_tracker.py
@@ -1,4 +1,4 @@
-"""Which clients' connections make room for others."""
+"""Which client connections are evicted or closed at the connection limits."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 class ConnectionTrackerTest(HttpServerCase):
-    """A server at the limits of its connections."""
+    """A server at its connection limits."""
 
-    async def test_never_used_connections_make_room_for_clients_that_send_requests(self) -> None:
+    async def test_never_used_connections_are_evicted_for_clients_that_send_requests(self) -> None:
         await self.start_server(respond_at_once)
         tracker = self.server.connections
         tracker.max_connections = 3
@@ -20,33 +20,33 @@
         await self.wait_until(lambda: len(tracker.open) == 3)
 
         assert (await self.send_request("t"))[0] == 200
-        assert await never_used[0][0].read() == b""  # the oldest has ended
+        assert await never_used[0][0].read() == b""  # the oldest was evicted
 
-        more = [await self.open_stream() for _ in range(3)]  # the client's own idle one outlives them
+        more = [await self.open_stream() for _ in range(3)]  # the used idle connection of self.client stays
         assert await more[0][0].read() == b""
         assert (await self.send_request("u"))[0] == 200
         assert len(tracker.open) <= 3
         for _, writer in [*never_used, *more]:
             writer.close()
 
-    async def test_beyond_the_idle_limit_each_connection_ends_with_its_response(self) -> None:
+    async def test_beyond_the_idle_limit_each_connection_closes_after_its_response(self) -> None:
         await self.start_server(respond_at_once)
         tracker = self.server.connections
         tracker.max_idle_connections = 2
-        kept = []
+        streams = []
         for trace_id in "abc":
-            kept.append(await self.open_stream(encode_request(trace_id)))
-            assert b" 200 " in await kept[-1][0].readuntil(b"tile")
+            streams.append(await self.open_stream(encode_request(trace_id)))
+            assert b" 200 " in await streams[-1][0].readuntil(b"tile")
 
-        assert await kept[2][0].read() == b""
+        assert await streams[2][0].read() == b""
         await self.wait_until(lambda: len(tracker.open) == 2)
-        kept[0][1].write(encode_request("d"))
-        assert b" 200 " in await kept[0][0].readuntil(b"tile")  # those before it are kept
+        streams[0][1].write(encode_request("d"))
+        assert b" 200 " in await streams[0][0].readuntil(b"tile")  # earlier connections are kept
         assert len(tracker.open) == 2
-        for _, writer in kept:
+        for _, writer in streams:
             writer.close()
 
-    async def test_flood_evicts_no_connection_whose_request_may_be_on_its_way(self) -> None:
+    async def test_flood_evicts_no_connection_whose_request_may_be_in_transit(self) -> None:
         await self.start_server(respond_at_once)
         tracker = self.server.connections
         tracker.max_connections = 2
@@ -61,7 +61,7 @@
         young[0][1].write(encode_request("y0"))
         young[1][1].write(encode_request("y1")[:9])
 
-        assert b" 200 " in await waiting_reader.readline()  # in the place of the one that had its response
+        assert b" 200 " in await waiting_reader.readline()  # in place of the one whose response was sent
         assert b" 200 " in await young[0][0].readline()
         young[1][1].write(encode_request("y1")[9:])
         assert b" 200 " in await young[1][0].readline()
--- a/tests/http/test_node_client.py
+++ b/tests/http/test_node_client.py
@@ -1,4 +1,4 @@
-"""Attempts over HTTP: what the result of each proves."""
+"""Attempts over HTTP and the outcome of each."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 class NodeClientTest(HttpServerCase):
-    """One attempt."""
+    """Single attempts at a scripted node."""
 
-    async def test_node_that_drains_while_the_connection_comes_up_is_sent_nothing(self) -> None:
+    async def test_node_that_drains_while_the_connection_opens_is_sent_nothing(self) -> None:
         await self.start_server(respond_at_once)
         draining = make_endpoint("s-a", self.node.port, EndpointState.DRAINING)
 
@@ -25,7 +25,7 @@
         assert result.outcome == AttemptOutcome.NOT_SENT
         assert self.node.counts["t"] == 0
 
-    async def test_refused_connection_never_ran_and_the_pool_of_a_draining_node_is_closed(self) -> None:
+    async def test_drain_closes_the_pool_and_a_refused_connection_is_a_connect_failure(self) -> None:
         await self.start_server(respond_at_once)
         await self.node_client.attempt(NODE, make_client_request("t"), lambda: 1.0)
         assert self.node.open == 1
@@ -38,7 +38,7 @@
         result = await self.node_client.attempt(NODE, make_client_request("t"), lambda: 1.0)
         assert result.outcome == AttemptOutcome.CONNECT_FAILED
 
-    async def test_connection_that_ends_as_it_comes_up_never_ran_anything(self) -> None:
+    async def test_connection_that_ends_right_after_opening_is_a_connect_failure(self) -> None:
         await self.start_server(respond_at_once)
 
         with self.patch_dial(lambda connection: connection.abort()):
@@ -49,7 +49,7 @@
         assert self.node.counts["t"] == 0
         assert self.node_client.open_connections == 0
 
-    async def test_connection_that_was_not_needed_in_the_end_is_kept(self) -> None:
+    async def test_connection_whose_attempt_has_no_time_left_is_pooled(self) -> None:
         await self.start_server(respond_at_once)
 
         result = await self.node_client.attempt(NODE, mock.Mock(), lambda: 0.0)
@@ -58,7 +58,7 @@
         assert self.node_client.open_connections == 1
         assert len(self.node_client.pools[NODE].idle) == 1
 
-    async def test_attempt_sends_the_time_left_after_the_connection_came_up_late(self) -> None:
+    async def test_attempt_sends_the_time_left_after_a_slow_connect(self) -> None:
         await self.start_server(respond_at_once)
 
         with self.after_dial(lambda: self.advance_clock(1.0)):
--- a/tests/http/test_request_codec.py
+++ b/tests/http/test_request_codec.py
@@ -1,4 +1,4 @@
-"""Which requests are accepted, and what the client gets for others."""
+"""Which requests are accepted, and the responses to the others."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class RequestCodecTest(HttpServerCase):
-    """Requests that reach no node."""
+    """Requests that are rejected before they reach a node."""
 
-    async def test_bad_request_is_answered_with_the_faulty_header(self) -> None:
+    async def test_response_to_an_invalid_request_names_the_faulty_header(self) -> None:
         await self.start_server(never_respond)
         io_header = HEADERS["X-IO"]
         for name, value in (
-            ("X-Qos", "tea"),
-            ("X-Plan", "gold"),
+            ("X-Qos", "unknown"),
+            ("X-Plan", "unknown"),
             ("X-IO", "volume=zz"),
             ("X-Expires-In-Ms", "-1"),
             ("X-Expires-In-Ms", "1_500"),
@@ -37,23 +37,23 @@
             assert status == 400
             assert name in text.decode()
         assert (await self.send_request("t", "PUT", bytes(70000)))[0] == 413
-        async with self.client.get(self.url + "/tea") as response:
+        async with self.client.get(self.url + "/unknown") as response:
             assert response.status == 404
         reader, writer = await self.open_stream(b"tea\r\n\r\n")
         assert b" 400 " in await reader.readline()
         writer.close()
         assert self.node.accepted == 0
 
-    async def test_more_than_one_request_at_a_time_reaches_no_node(self) -> None:
+    async def test_requests_that_overlap_on_one_connection_reach_no_node(self) -> None:
         await self.start_server(never_respond)
-        hidden = encode_request("x")
-        pipelined = hidden * 300
-        too_short_length = encode_request("t", "Content-Length: 4", method="PUT") + b"scan" + hidden
+        extra_request = encode_request("x")
+        pipelined = extra_request * 300
+        too_short_length = encode_request("t", "Content-Length: 4", method="PUT") + b"scan" + extra_request
         two_lengths = encode_request("t", "Content-Length: 4", "Content-Length: 0", method="PUT") + b"scan"
         both_framings = (
             encode_request("t", "Content-Length: 4", "Transfer-Encoding: chunked", method="PUT")
             + b"0\r\n\r\n"
-            + hidden
+            + extra_request
         )
         for data in (pipelined, too_short_length, two_lengths, both_framings):
             reader, writer = await self.open_stream(data)
@@ -61,25 +61,25 @@
             writer.close()
         assert self.node.accepted == 0
 
-        # However late the loop runs, the request stays at the node until the next one has been read.
+        # However slowly the event loop runs, the request stays at the node until the next one is read.
         self.server.config.client_timeouts_s[0] = 60.0
         self.executor.policy.settings.can_cancel = False
         late = encode_request("late", changes={"X-Expires-In-Ms": "60000"})
         reader, writer = await self.open_stream(late)
         await self.wait_until(lambda: self.node.counts["late"])
-        writer.write(hidden)  # behind a request that is already at the node
+        writer.write(extra_request)  # after a request that is already at the node
         assert await reader.read() == b""
         assert self.node.counts["x"] == 0
         writer.close()
 
 
 class TestDecodeRequest:
-    """The checks without a server: which of several faults is reported."""
+    """Decoding and encoding without a server."""
 
     FAULTS = (
         ("X-Trace-Id", "", "X-Trace-Id"),
-        ("X-Qos", "tea", "X-Qos"),
-        ("X-Plan", "gold", "X-Plan"),
+        ("X-Qos", "unknown", "X-Qos"),
+        ("X-Plan", "unknown", "X-Plan"),
         ("X-IO", "volume=1,volume=2", "X-IO"),
         ("X-Expires-In-Ms", "-1", "X-Expires-In-Ms"),
         ("X-IO", "volume=zz", "X-IO volume"),
@@ -94,7 +94,7 @@
                 decode_request(make_config(), "GET", TARGET, CIMultiDictProxy(headers), b"")
             assert raised.value.field == expected_field
 
-    def test_attempt_names_an_ipv6_node_in_brackets_and_no_length_without_a_body(self) -> None:
+    def test_attempt_has_an_ipv6_host_in_brackets_and_no_length_without_a_body(self) -> None:
         encoded = encode_attempt(make_client_request("t"), Address("::1", 80), 0.25)
         assert encoded.decode() == (
             f"GET {TARGET} HTTP/1.1\r\nHost: [::1]:80\r\nX-Trace-Id: t\r\nX-Expires-In-Ms: 250\r\n\r\n"
--- a/tests/http/test_shutdown.py
+++ b/tests/http/test_shutdown.py
@@ -1,4 +1,4 @@
-"""The server as its process ends: each request that was accepted has its response."""
+"""Shutdown of the server: each accepted request gets its response."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 
 class ShutdownTest(HttpServerCase):
-    """Requests that cross the shutdown."""
+    """Requests in progress, queued or arriving during the shutdown."""
 
-    async def test_request_in_progress_has_its_response_before_the_process_ends(self) -> None:
+    async def test_request_in_progress_gets_its_response_before_the_process_ends(self) -> None:
         await self.start_server(never_respond)
-        self.server.config.client_timeouts_s[1] = 60.0  # the client waits far longer than the process lives
+        self.server.config.client_timeouts_s[1] = 60.0  # far longer than the process may still run
         sending = asyncio.create_task(self.send_request("t", "PUT", b"scan", {"X-Expires-In-Ms": "60000"}))
         await self.wait_until(lambda: self.node.counts["t"])
 
         self.executor.begin_shutdown(0.2)
 
         async with asyncio.timeout(5):
-            assert (await sending)[0] == 502  # it may have run
+            assert (await sending)[0] == 502  # the node may have executed it
         await self.wait_until(lambda: self.node.open == 0 and not self.executor.pending)
 
-    async def test_request_that_is_queued_as_the_process_ends_is_rejected_and_not_sent(self) -> None:
+    async def test_request_that_is_queued_at_shutdown_is_rejected_and_not_sent(self) -> None:
         await self.start_server(never_respond)
         self.server.config.client_timeouts_s[0] = 60.0
         with mock.patch.object(self.executor.policy, "step", return_value=[]):
@@ -38,7 +38,7 @@
                 assert (await sending)[0] == 503
         assert self.node.accepted == 0
 
-    async def test_no_attempt_begins_past_the_response_deadline(self) -> None:
+    async def test_no_attempt_begins_after_the_response_deadline(self) -> None:
         await self.start_server(respond_at_once)
 
         with self.after_dial(lambda: self.executor.begin_shutdown(ATTEMPT_MARGIN_S / 2)):
@@ -52,18 +52,21 @@
         client = self.open_socket()
         client.sendall(encode_request("t"))
 
-        closing = asyncio.create_task(self.server.close())  # its first step comes before the next accept
+        closing = asyncio.create_task(self.server.close())
         assert self.server.listener
+        # Without its reader, the loop accepts no connection: close() must accept this one.
         self.server.listener.loop.remove_reader(self.server.listener.socket)
 
         assert (await self.receive(client)).startswith(b"HTTP/1.1 200 ")
         await closing
 
-    async def test_request_that_has_half_come_as_the_server_closes_is_served(self) -> None:
+    async def test_request_that_is_partly_received_as_the_server_closes_is_served(self) -> None:
         await self.start_server(respond_at_once)
         client = self.open_socket()
         client.sendall(encode_request("t")[:40])
-        await self.wait_until(lambda: any(one.head_started_at for one in self.server.connections.open))
+        await self.wait_until(
+            lambda: any(connection.head_started_at for connection in self.server.connections.open)
+        )
 
         closing = asyncio.create_task(self.server.close())
         await asyncio.sleep(0)
