--- a/storage_gateway/sftp/codec.py
+++ b/storage_gateway/sftp/codec.py
@@ -1,4 +1,4 @@
-"""SFTP version 3 packets as bytes: framing, bounds-checked decoding, and encoding."""
+"""SFTP version 3 wire format: packet framing, bounds-checked decoding, and encoding."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 )
 from storage_gateway.sftp.packets import PACKET_CLASSES, Packet, Unsupported
 
-MAX_PACKET_BYTES = 66 * 1024  # after the length; the draft asks for 34,000 at least (section 3)
+MAX_PACKET_BYTES = 66 * 1024  # without the length field; the draft asks for at least 34,000 (section 3)
 
 _UINT32 = struct.Struct(">I")
 _UINT64 = struct.Struct(">Q")
 _HEADER_BYTES = 1 + _UINT32.size  # packet type and request id
-_MIN_ENTRY_BYTES = 3 * _UINT32.size  # a directory entry: two empty strings and the flags of no attributes
-_MIN_EXTENDED_BYTES = 2 * _UINT32.size  # an extended attribute: two empty strings
+_MIN_ENTRY_BYTES = 3 * _UINT32.size  # directory entry: two empty strings, no attribute flags
+_MIN_EXTENDED_BYTES = 2 * _UINT32.size  # extended attribute: two empty strings
 
-# The flags that say which attributes are stated (section 5).
+# Flags that mark which attributes are present (section 5).
 _HAS_SIZE = 0x00000001
 _HAS_OWNERSHIP = 0x00000002
 _HAS_PERMISSIONS = 0x00000004
@@ -36,58 +36,60 @@
 
 
 async def read_packet(stream: asyncio.StreamReader) -> bytes:
-    """Read one packet and return it without its length.
+    """Read one packet and return it without its length field.
 
     Raises:
-        PacketError: the length is one that no packet has.
-        asyncio.IncompleteReadError: the peer has closed.
+        PacketError: the length is outside the accepted range.
+        asyncio.IncompleteReadError: the peer closed the connection.
     """
     return await stream.readexactly(await read_packet_length(stream))
 
 
 async def read_packet_length(stream: asyncio.StreamReader) -> int:
-    """Read the next packet's length in bytes; the errors are those of ``read_packet``."""
+    """Read the next packet's length in bytes; raises the errors of ``read_packet``."""
     length = int.from_bytes(await stream.readexactly(_UINT32.size), "big")
     if not _HEADER_BYTES <= length <= MAX_PACKET_BYTES:
-        raise PacketError(f"a packet of {length} bytes")
+        raise PacketError(
+            f"packet length is {length} bytes, expected {_HEADER_BYTES} to {MAX_PACKET_BYTES} bytes"
+        )
     return length
 
 
 def decode_packet(raw: bytes) -> Packet:
-    """Decode a packet without its length.
+    """Decode a packet that was read without its length field.
 
     Returns:
-        The packet; ``Unsupported`` where its type is unknown.
+        The packet; ``Unsupported`` if its type is unknown.
 
     Raises:
-        PacketError: a field does not fit; it holds the request id where that could be read.
+        PacketError: the packet is malformed; carries the request id if it could be read.
     """
     reader = PacketReader(raw)
-    packet_type = reader.take(1)[0]
+    packet_type = reader.read_bytes(1)[0]
     request_id = None
     try:
         request_id = reader.read_uint32()
-        known = _DECODERS.get(packet_type)
-        if known is None:
+        decoder = _DECODERS.get(packet_type)
+        if decoder is None:
             return Unsupported(request_id)
-        packet_class, read_functions = known
+        packet_class, read_functions = decoder
         packet = packet_class(request_id, *[read(reader) for read in read_functions])
     except PacketError as error:
         raise PacketError(str(error), request_id) from error
     if not reader.is_at_end():
-        raise PacketError("bytes after the last field", request_id)
+        raise PacketError("packet has bytes after its last field", request_id)
     return packet
 
 
 def encode_packet(packet: Packet) -> bytes:
-    """Encode a packet with its length."""
+    """Encode a packet, including its length field."""
     body = b"".join([write(getattr(packet, name)) for name, write in _ENCODERS[type(packet)]])
     length = _UINT32.pack(_HEADER_BYTES + len(body))
     return length + bytes([packet.packet_type]) + _UINT32.pack(packet.request_id) + body
 
 
 class PacketReader:
-    """A cursor over a packet's bytes; each method takes one value and raises PacketError beyond the end."""
+    """A cursor over a packet's bytes; each read method raises PacketError if the packet is too short."""
 
     __slots__ = ("_position", "_raw")
 
@@ -96,40 +98,40 @@
         self._position = 0
 
     def is_at_end(self) -> bool:
-        """Return whether all bytes have been taken."""
+        """Return whether all bytes have been read."""
         return self._position == len(self._raw)
 
-    def take(self, size: int) -> bytes:
-        """Take so many bytes."""
+    def read_bytes(self, size: int) -> bytes:
+        """Read exactly ``size`` bytes."""
         start = self._position
         end = start + size
         if end > len(self._raw):
-            raise PacketError("the packet ends within a field")
+            raise PacketError("packet ends within a field")
         self._position = end
         return self._raw[start:end]
 
     def read_uint32(self) -> int:
-        """Take a number of 4 bytes."""
-        return int.from_bytes(self.take(4), "big")
+        """Read an unsigned 32-bit integer."""
+        return int.from_bytes(self.read_bytes(4), "big")
 
     def read_uint64(self) -> int:
-        """Take a number of 8 bytes."""
-        return int.from_bytes(self.take(8), "big")
+        """Read an unsigned 64-bit integer."""
+        return int.from_bytes(self.read_bytes(8), "big")
 
     def read_string(self) -> bytes:
-        """Take bytes that follow their length."""
-        return self.take(self.read_uint32())
+        """Read a byte string that is preceded by its length."""
+        return self.read_bytes(self.read_uint32())
 
     def read_text(self) -> str:
-        """Take a string as UTF-8; other bytes become surrogates, so that each path survives a round trip."""
+        """Read a UTF-8 string; invalid bytes become surrogates, so that any path survives a round trip."""
         return self.read_string().decode("utf-8", "surrogateescape")
 
     def read_remainder(self) -> bytes:
-        """Take all bytes that are left."""
-        return self.take(len(self._raw) - self._position)
+        """Read all remaining bytes."""
+        return self.read_bytes(len(self._raw) - self._position)
 
     def read_attributes(self) -> FileAttributes:
-        """Take the attributes that their flags announce."""
+        """Read the attributes whose flags are set."""
         flags = self.read_uint32()
         attributes = FileAttributes()
         if flags & _HAS_SIZE:
@@ -148,22 +150,22 @@
         return attributes
 
     def read_entries(self) -> list[DirectoryEntry]:
-        """Take directory entries that follow their count."""
+        """Read directory entries that are preceded by their count."""
         count = self._read_count(_MIN_ENTRY_BYTES)
         return [
             DirectoryEntry(self.read_text(), self.read_text(), self.read_attributes()) for _ in range(count)
         ]
 
     def _read_count(self, min_item_bytes: int) -> int:
-        """Take a count of items; one that the rest cannot hold is rejected before any item is made."""
+        """Read a count of items; one too large for the remaining bytes is rejected before any allocation."""
         count = self.read_uint32()
         if count * min_item_bytes > len(self._raw) - self._position:
-            raise PacketError("a count beyond the packet's end")
+            raise PacketError("item count exceeds the rest of the packet")
         return count
 
 
 def pack_uint32(value: int) -> bytes:
-    """Encode a number as 4 bytes."""
+    """Encode an unsigned 32-bit integer."""
     return _UINT32.pack(value)
 
 
@@ -240,7 +242,7 @@
     return [(name, _WRITE_FUNCTIONS[kind]) for name, kind in zip(names, packet_class.layout, strict=True)]
 
 
-# Both are made once, so that a packet costs no look-up of its layout.
+# Both tables are built once, so that no packet has to look up its layout.
 _DECODERS: dict[int, tuple[type[Packet], list[_ReadFunction]]] = {
     packet_class.packet_type: (packet_class, [_READ_FUNCTIONS[kind] for kind in packet_class.layout])
     for packet_class in PACKET_CLASSES
--- a/storage_gateway/sftp/commands.py
+++ b/storage_gateway/sftp/commands.py
@@ -1,4 +1,4 @@
-"""Commands that a storage node executes, and the exchange of packets that each one takes."""
+"""Commands that a storage node executes, and the packet exchange of each."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from storage_gateway.sftp.fields import DirectoryEntry, FileAttributes, OpenFlags, StatusCode
 from storage_gateway.sftp.node_connection import SftpConnection
 
-MAX_LISTING_ENTRIES = 20_000
-WRITE_CHUNK_BYTES = 32 * 1024  # what every server must accept in a WRITE (section 3 of the draft)
+MAX_LISTING_ENTRIES = 20_000  # per directory; the listing of a larger one fails
+WRITE_CHUNK_BYTES = 32 * 1024  # data that every server must accept in a WRITE (section 3 of the draft)
 
 
 @dataclass(slots=True)
 class Extent:
-    """Contiguous bytes of a file."""
+    """Contiguous bytes of a file, starting at byte ``offset``."""
 
     offset: int
     data: bytes
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True)
 class ReadRange:
-    """Read at most ``length`` bytes of a file."""
+    """Read at most ``length`` bytes of a file, starting at byte ``offset``."""
 
     is_write: ClassVar[bool] = False
     path: str
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class Upload:
-    """Write all that a client wrote to a handle, once the client has closed it."""
+    """Store everything that a client wrote to a handle; executed once the client closes the handle."""
 
     is_write: ClassVar[bool] = True
     path: str
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True)
 class SimpleCommand:
-    """A command of one request packet."""
+    """A command that consists of a single request packet."""
 
     packet: packets.Packet
     is_write: bool
@@ -64,9 +64,10 @@
 
 
 def run_command(connection: SftpConnection, command: Command) -> Coroutine[Any, Any, packets.Packet]:
-    """Return the exchange of the whole command, to be awaited; its result is the reply that decides.
+    """Return a coroutine that executes the command and returns the response that determines its outcome.
 
-    It raises OSError or EOFError where the connection breaks, and PacketError for a reply that does not fit.
+    The coroutine raises OSError or EOFError if the connection breaks, and PacketError for an unexpected
+    response.
     """
     match command:
         case SimpleCommand(packet=packet):
@@ -83,11 +84,13 @@
     opened = await connection.request(packets.Open(0, command.path, OpenFlags.READ, FileAttributes()))
     if not isinstance(opened, packets.Handle):
         return opened
-    reply = await connection.request(packets.Read(0, opened.handle, command.offset, command.length))
+    response = await connection.request(packets.Read(0, opened.handle, command.offset, command.length))
     await connection.request(packets.Close(0, opened.handle))
-    if not isinstance(reply, packets.Data | packets.Status):
-        raise PacketError(f"an answer of type {reply.packet_type}")
-    return reply
+    if not isinstance(response, packets.Data | packets.Status):
+        raise PacketError(
+            f"expected DATA or STATUS in response to READ, got packet type {response.packet_type}"
+        )
+    return response
 
 
 async def _list_directory(connection: SftpConnection, command: ListDirectory) -> packets.Packet:
@@ -96,25 +99,25 @@
         return opened
     entries: list[DirectoryEntry] = []
     while True:
-        reply = await connection.request(packets.Readdir(0, opened.handle))
-        if not isinstance(reply, packets.Name) or not reply.entries:
+        response = await connection.request(packets.Readdir(0, opened.handle))
+        if not isinstance(response, packets.Name) or not response.entries:
             break
-        entries += reply.entries
+        entries += response.entries
         if len(entries) > MAX_LISTING_ENTRIES:
-            raise PacketError("too long a listing")
+            raise PacketError(f"directory listing has more than {MAX_LISTING_ENTRIES} entries")
     await connection.request(packets.Close(0, opened.handle))
-    return packets.Name(0, entries) if _is_end_of_listing(reply) else reply
+    return packets.Name(0, entries) if _is_end_of_listing(response) else response
 
 
-def _is_end_of_listing(reply: packets.Packet) -> bool:
-    """Return whether the reply ends a listing: the status of the draft, or a reply without entries."""
-    if isinstance(reply, packets.Status):
-        return reply.code == StatusCode.EOF
-    return isinstance(reply, packets.Name)
+def _is_end_of_listing(response: packets.Packet) -> bool:
+    """Return whether the response ends a listing: the draft's EOF status, or a NAME without entries."""
+    if isinstance(response, packets.Status):
+        return response.code == StatusCode.EOF
+    return isinstance(response, packets.Name)
 
 
 async def _upload(connection: SftpConnection, command: Upload) -> packets.Packet:
-    """Open, then send every WRITE and the CLOSE at once, and only then read the replies."""
+    """Open the file, pipeline every WRITE and the CLOSE, and only then read their responses."""
     opened = await connection.request(packets.Open(0, command.path, command.flags, command.attributes))
     if not isinstance(opened, packets.Handle):
         return opened
@@ -125,8 +128,8 @@
             await connection.send(packets.Write(0, opened.handle, extent.offset + start, chunk))
     await connection.send(packets.Close(0, opened.handle))
     request_ids = range(first_request_id, connection.last_request_id + 1)
-    replies = [await connection.receive(request_id) for request_id in request_ids]
-    for reply in replies:
-        if not isinstance(reply, packets.Status) or reply.code != StatusCode.OK:
-            return reply
-    return replies[-1]
+    responses = [await connection.receive(request_id) for request_id in request_ids]
+    for response in responses:
+        if not isinstance(response, packets.Status) or response.code != StatusCode.OK:
+            return response
+    return responses[-1]
--- a/storage_gateway/sftp/errors.py
+++ b/storage_gateway/sftp/errors.py
@@ -7,11 +7,11 @@
 
 
 class CommandError(GatewayError):
-    """A command that the gateway itself answers with a status, and not with a node's reply.
+    """Raised where the gateway itself answers a command with a status, instead of a node.
 
     Attributes:
-        status_code: the code of the reply.
-        message: the text of the reply.
+        status_code: the code of the status that the client receives.
+        message: the text of that status.
     """
 
     def __init__(self, status_code: StatusCode, message: str) -> None:
--- a/storage_gateway/sftp/fields.py
+++ b/storage_gateway/sftp/fields.py
@@ -1,4 +1,4 @@
-"""Values that packets of SFTP version 3 hold (draft-ietf-secsh-filexfer-02)."""
+"""Field values of SFTP version 3 packets (draft-ietf-secsh-filexfer-02)."""
 
 from __future__ import annotations
 
@@ -33,33 +33,33 @@
 
 
 class FieldKind(Enum):
-    """How a field is encoded."""
+    """The wire encoding of a packet field."""
 
     UINT32 = "uint32"
     UINT64 = "uint64"
-    STRING = "string"  # bytes after their length
-    TEXT = "text"  # a string in UTF-8; other bytes survive as surrogates
-    REMAINDER = "remainder"  # all bytes to the packet's end
+    STRING = "string"  # bytes, preceded by their length
+    TEXT = "text"  # a STRING in UTF-8; invalid bytes are kept as surrogates
+    REMAINDER = "remainder"  # all bytes up to the end of the packet
     ATTRIBUTES = "attributes"
-    ENTRIES = "entries"  # directory entries after their count
+    ENTRIES = "entries"  # directory entries, preceded by their count
 
 
 class Ownership(NamedTuple):
-    """Numeric ids of a file's user and group."""
+    """Numeric user and group ids of a file."""
 
     user_id: int
     group_id: int
 
 
 class FileTimes(NamedTuple):
-    """Unix times in seconds."""
+    """Access and modification times of a file, in Unix seconds."""
 
     accessed_at: int
     modified_at: int
 
 
 class ExtendedAttribute(NamedTuple):
-    """A vendor's attribute, passed on as it came."""
+    """A vendor-specific attribute, passed on unchanged."""
 
     name: bytes
     value: bytes
@@ -67,7 +67,7 @@
 
 @dataclass(slots=True)
 class FileAttributes:
-    """File attributes (section 5); None where they are not stated."""
+    """File attributes (section 5), ``size`` in bytes; None for those that a packet does not state."""
 
     size: int | None = None
     ownership: Ownership | None = None
@@ -78,7 +78,7 @@
 
 @dataclass(slots=True)
 class DirectoryEntry:
-    """An entry of SSH_FXP_NAME; ``long_name`` is formatted as by ``ls -l``."""
+    """An entry of SSH_FXP_NAME; ``long_name`` is a line as printed by ``ls -l``."""
 
     filename: str
     long_name: str
--- a/storage_gateway/sftp/node_client.py
+++ b/storage_gateway/sftp/node_client.py
@@ -1,4 +1,4 @@
-"""Attempts of SFTP commands at storage nodes, and the idle connections to them."""
+"""Attempts to execute SFTP commands at storage nodes, and the pool of idle connections."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from storage_gateway.sftp.packets import Packet, Status
 
 MAX_IDLE_PER_NODE = 4
-IDLE_REUSE_SHARE = 0.5  # of the nodes' idle limit, after which a connection is not used again
+IDLE_REUSE_FRACTION = 0.5  # of the nodes' idle timeout; a connection idle for longer is not reused
 
-# What a broken connection raises: a time-out is an OSError, and a packet that does not fit a ValueError.
+# Raised by a failed connection: TimeoutError is an OSError, and PacketError is a ValueError.
 _CONNECTION_ERRORS = (OSError, EOFError, ValueError)
 
 
 class SftpNodeClient:
-    """Executes commands at the nodes of the registry and keeps idle connections to them."""
+    """Executes commands at the nodes of the registry and pools idle connections to them."""
 
     def __init__(
         self,
@@ -32,19 +32,19 @@
         idle_close_s: float,
         max_idle: int,
     ) -> None:
-        """Create a client that has no connection yet.
+        """Create a client without connections.
 
         Args:
-            registry: the nodes; connections to one that changes are closed.
+            registry: the storage nodes; idle connections to a node that changes are closed.
             port: the SFTP port of every node; 0 for the port that discovery lists.
-            connect_timeout_s: the time for a connection to come up, the exchange of versions included.
-            idle_close_s: the time after which nodes close an idle connection.
-            max_idle: idle connections to all nodes together.
+            connect_timeout_s: limit for establishing a connection, including the version exchange.
+            idle_close_s: idle timeout after which the nodes close a connection.
+            max_idle: limit of idle connections to all nodes together.
         """
         self._registry = registry
         self._port = port
         self._connect_timeout_s = connect_timeout_s
-        self._idle_reuse_s = idle_close_s * IDLE_REUSE_SHARE
+        self._max_reuse_idle_s = idle_close_s * IDLE_REUSE_FRACTION
         self._max_idle = max_idle
         self._idle: defaultdict[int, list[SftpConnection]] = defaultdict(list)
         registry.listeners.append(self._drop_idle)
@@ -57,7 +57,8 @@
     async def attempt(self, node: int, command: Command) -> AttemptResult[Packet]:
         """Execute the command once.
 
-        Once a byte of the command may have been written, a broken connection may mean that it was executed.
+        A connection that breaks once a byte of the command may have been written results in
+        ``CONNECTION_RESET``: the node may have executed the command.
         """
         try:
             connection = await self._connect(node, must_be_new=command.is_write)
@@ -65,28 +66,28 @@
             return AttemptResult(AttemptOutcome.NOT_SENT)
         except NotSentError:
             return AttemptResult(AttemptOutcome.CONNECT_FAILED)
-        reply = None
+        response = None
         try:
-            reply = await run_command(connection, command)
+            response = await run_command(connection, command)
         except _CONNECTION_ERRORS:
             return AttemptResult(AttemptOutcome.CONNECTION_RESET)
         finally:
-            # Also when cancelled: nothing of an attempt stays open while the next one is sent.
-            if reply is None or not self._keep_idle(node, connection):
+            # Also runs on cancellation: no connection of this attempt is in use when the next one is sent.
+            if response is None or not self._keep_idle(node, connection):
                 connection.abort()
-        if isinstance(reply, Status) and reply.code == StatusCode.FAILURE:
+        if isinstance(response, Status) and response.code == StatusCode.FAILURE:
             return AttemptResult(AttemptOutcome.ERROR)
-        return AttemptResult(AttemptOutcome.SERVED, reply)  # any other status is for the client to judge
+        return AttemptResult(AttemptOutcome.SERVED, response)  # any other status goes to the client
 
     async def _connect(self, node: int, must_be_new: bool) -> SftpConnection:
         """Return a connection to a serving node, ready for a command.
 
-        A write has a new one: on one that was idle, a break before the node received the command could not be
-        told from a break after it had stored the change.
+        A write gets a new connection: on a reused one, a break before the node received the command could not
+        be distinguished from a break after it had stored the change.
 
         Raises:
-            EndpointNotServingError: the node does not serve.
-            NotSentError: no connection came up.
+            EndpointNotServingError: the node is not serving.
+            NotSentError: the connection could not be established.
         """
         endpoint = self._registry.endpoints.get(node)
         if endpoint is None or not self._registry.is_serving(node):
@@ -94,7 +95,7 @@
         connection = None if must_be_new else self._take_idle(node)
         if connection is None:
             connection = await self._open_connection(endpoint)
-        if not self._registry.is_serving(node):  # discovery may have reported while the connection came up
+        if not self._registry.is_serving(node):  # discovery may have changed it meanwhile
             connection.abort()
             raise EndpointNotServingError
         return connection
@@ -104,7 +105,7 @@
         idle = self._idle[node]
         while idle:
             connection = idle.pop()
-            if connection.is_usable() and now - connection.idle_since < self._idle_reuse_s:
+            if connection.is_usable() and now - connection.idle_since < self._max_reuse_idle_s:
                 return connection
             connection.abort()
         return None
@@ -129,18 +130,18 @@
             raise
 
     def _keep_idle(self, node: int, connection: SftpConnection) -> bool:
-        """Keep the connection for a later command; False where it is not to be used again."""
+        """Keep the connection for a later command; return False if it must not be reused."""
         if not connection.is_usable() or not self._registry.is_serving(node):
             return False
         if len(self._idle[node]) >= MAX_IDLE_PER_NODE:
             return False
-        if sum(map(len, self._idle.values())) >= self._max_idle:  # the budget of descriptors has no more
+        if sum(map(len, self._idle.values())) >= self._max_idle:  # file descriptor budget
             return False
         connection.idle_since = asyncio.get_running_loop().time()
         self._idle[node].append(connection)
         return True
 
     def _drop_idle(self, node: int) -> None:
-        """Close the idle connections to a node that drains, was removed or restarted."""
+        """Close the idle connections to a node that is draining, was removed or has restarted."""
         for connection in self._idle.pop(node, []):
             connection.abort()
--- a/storage_gateway/sftp/node_connection.py
+++ b/storage_gateway/sftp/node_connection.py
@@ -11,11 +11,11 @@
 
 
 class SftpConnection:
-    """One connection; it carries one command at a time.
+    """One connection to a node; it carries one command at a time.
 
     Attributes:
-        last_request_id: the id of the request that was sent last; 0 before the first.
-        idle_since: when it became idle, on the loop's clock.
+        last_request_id: id of the most recently sent request; 0 before the first.
+        idle_since: when the connection became idle, in seconds on the event loop's clock.
     """
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -25,23 +25,23 @@
         self._writer = writer
 
     async def negotiate_version(self) -> None:
-        """Exchange versions; nothing else may be sent before.
+        """Exchange protocol versions, which must come before any request.
 
         Raises:
-            PacketError: the server does not speak version 3.
+            PacketError: the server does not support version 3.
             OSError, EOFError: the connection broke.
         """
-        reply = await self.request(Init(PROTOCOL_VERSION))
-        if not isinstance(reply, Version) or reply.version != PROTOCOL_VERSION:
-            raise PacketError("no version 3")
+        response = await self.request(Init(PROTOCOL_VERSION))
+        if not isinstance(response, Version) or response.version != PROTOCOL_VERSION:
+            raise PacketError(f"expected protocol version {PROTOCOL_VERSION} in response to INIT")
 
     async def request(self, packet: Packet) -> Packet:
-        """Send a request and return its reply; the errors are those of ``send`` and ``receive``."""
+        """Send a request and return its response; raises the errors of ``send`` and ``receive``."""
         await self.send(packet)
         return await self.receive(self.last_request_id)
 
     async def send(self, packet: Packet) -> None:
-        """Send a packet under the next request id, which its own one is replaced by.
+        """Send a packet; its request id is replaced by the next one, except in INIT, which has none.
 
         Raises:
             OSError: the connection broke.
@@ -53,21 +53,21 @@
         await self._writer.drain()
 
     async def receive(self, request_id: int) -> Packet:
-        """Return the next packet, which must be the reply to this request.
+        """Return the next packet, which must be the response to this request.
 
         Raises:
-            PacketError: it is the reply to another request, or no packet.
+            PacketError: the packet is malformed or responds to another request.
             OSError, EOFError: the connection broke.
         """
-        reply = decode_packet(await read_packet(self._reader))
-        if reply.request_id != request_id and not isinstance(reply, Version):
-            raise PacketError(f"an answer to {reply.request_id}, want one to {request_id}")
-        return reply
+        response = decode_packet(await read_packet(self._reader))
+        if response.request_id != request_id and not isinstance(response, Version):
+            raise PacketError(f"response has request id {response.request_id}, expected {request_id}")
+        return response
 
     def is_usable(self) -> bool:
-        """Return whether neither side has closed it, as far as is known."""
+        """Return whether neither side is known to have closed the connection."""
         return not self._reader.at_eof() and not self._writer.is_closing()
 
     def abort(self) -> None:
-        """Close it at once; what was not sent is dropped."""
+        """Close the connection immediately; unsent data is discarded."""
         self._writer.transport.abort()
--- a/storage_gateway/sftp/packets.py
+++ b/storage_gateway/sftp/packets.py
@@ -1,7 +1,7 @@
 """SFTP version 3 packets (draft-ietf-secsh-filexfer-02, section 3) as typed values.
 
-Packets of the same payload share a base class, which states the fields once; a class that adds no field
-to it is no dataclass of its own and has empty slots. The names and the numbers of the types are the draft's.
+Packets with the same payload share a base class that declares the fields. A subclass without further fields
+is not a dataclass of its own and has empty slots. The names and numbers of the types are those of the draft.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
     """Base of all packets.
 
     Attributes:
-        packet_type: the number that stands before the request id.
-        layout: the kinds of the fields after the request id, in the order in which the class states them.
-        request_id: pairs a reply with its request.
+        packet_type: the type byte, which precedes the request id.
+        layout: the encodings of the fields after the request id, in the order of their declaration.
+        request_id: matches a response to its request.
     """
 
     packet_type: ClassVar[int]
@@ -31,14 +31,18 @@
 
 @dataclass(slots=True)
 class VersionPacket(Packet):
-    """A packet of the handshake; it carries the sender's version in the place of a request id."""
+    """A handshake packet; it carries the sender's protocol version in place of a request id.
+
+    Attributes:
+        extensions: the encoded extensions, which are not interpreted; empty for none.
+    """
 
     layout = (FieldKind.REMAINDER,)
     extensions: bytes = b""
 
     @property
     def version(self) -> int:
-        """The highest version that the sender knows."""
+        """The highest protocol version that the sender supports."""
         return self.request_id
 
 
@@ -61,7 +65,7 @@
 
 @dataclass(slots=True)
 class HandlePacket(Packet):
-    """A packet that holds an open handle and nothing else."""
+    """A packet that holds only a handle."""
 
     layout = (FieldKind.STRING,)
     handle: bytes
@@ -75,7 +79,7 @@
 
 
 class Version(VersionPacket):
-    """The reply to INIT."""
+    """The response to INIT."""
 
     __slots__ = ()
     packet_type = 2
@@ -122,7 +126,7 @@
 
 
 class Lstat(PathPacket):
-    """Get the attributes of a path, not following a link."""
+    """Get the attributes of a path without following symbolic links."""
 
     __slots__ = ()
     packet_type = 7
@@ -143,7 +147,7 @@
 
 
 class Opendir(PathPacket):
-    """Open a directory to list it."""
+    """Open a directory for listing."""
 
     __slots__ = ()
     packet_type = 11
@@ -164,7 +168,7 @@
 
 
 class Mkdir(PathAttributesPacket):
-    """Make a directory."""
+    """Create a directory."""
 
     __slots__ = ()
     packet_type = 14
@@ -178,14 +182,14 @@
 
 
 class Realpath(PathPacket):
-    """Get the absolute form of a path."""
+    """Get the canonical absolute form of a path."""
 
     __slots__ = ()
     packet_type = 16
 
 
 class Stat(PathPacket):
-    """Get the attributes of a path, following links."""
+    """Get the attributes of a path, following symbolic links."""
 
     __slots__ = ()
     packet_type = 17
@@ -203,7 +207,7 @@
 
 @dataclass(slots=True)
 class Status(Packet):
-    """A reply that holds a ``StatusCode`` (or a later version's code) and its reason."""
+    """The response that holds a ``StatusCode`` (or a code of a later version) and its explanation."""
 
     packet_type = 101
     layout = (FieldKind.UINT32, FieldKind.TEXT, FieldKind.TEXT)
@@ -213,7 +217,7 @@
 
 
 class Handle(HandlePacket):
-    """The reply that grants a handle."""
+    """The response that holds a newly opened handle."""
 
     __slots__ = ()
     packet_type = 102
@@ -221,7 +225,7 @@
 
 @dataclass(slots=True)
 class Data(Packet):
-    """The reply that holds a file's bytes."""
+    """The response that holds data of a file."""
 
     packet_type = 103
     layout = (FieldKind.STRING,)
@@ -230,7 +234,7 @@
 
 @dataclass(slots=True)
 class Name(Packet):
-    """The reply that holds directory entries."""
+    """The response that holds directory entries."""
 
     packet_type = 104
     layout = (FieldKind.ENTRIES,)
@@ -239,7 +243,7 @@
 
 @dataclass(slots=True)
 class Attributes(Packet):
-    """The reply that holds a file's attributes (SSH_FXP_ATTRS)."""
+    """The response that holds file attributes (SSH_FXP_ATTRS)."""
 
     packet_type = 105
     layout = (FieldKind.ATTRIBUTES,)
@@ -247,12 +251,13 @@
 
 
 class Unsupported(Packet):
-    """A packet of an unknown type, which is 0 here; it is known by its request id alone."""
+    """A packet of an unknown type, of which only the request id was read; its type is given as 0."""
 
     __slots__ = ()
     packet_type = 0
 
 
+# The packets that are decoded; any other type becomes ``Unsupported``.
 PACKET_CLASSES: tuple[type[Packet], ...] = (
     Init,
     Version,
@@ -276,4 +281,4 @@
     Data,
     Name,
     Attributes,
-)  # the packets that are decoded
+)
--- a/storage_gateway/sftp/request_handler.py
+++ b/storage_gateway/sftp/request_handler.py
@@ -1,4 +1,4 @@
-"""What the gateway does for each request of an SFTP client."""
+"""Handling of each request of an SFTP client."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 from storage_gateway.sftp.scheduler import CommandScheduler
 from storage_gateway.sftp.volumes import DIRECTORY_MODE, VolumeTree, absolute_path
 
-MAX_LISTED_ENTRIES = 40_000  # directory entries in memory, over all sessions
-MAX_ENTRIES_PER_REPLY = 64
+MAX_LISTED_ENTRIES = 40_000  # directory entries held in memory, over all sessions
+MAX_ENTRIES_PER_RESPONSE = 64
 
-_Reply = Coroutine[Any, Any, packets.Packet]
+_ResponseCoroutine = Coroutine[Any, Any, packets.Packet]
 
 
 class RequestHandler:
-    """The requests of one session; a reply's request id is left for the session to set.
+    """Handles the requests of one session; the session sets the request id of each response.
 
-    An upload is gathered in its handle and goes to a node as one command at CLOSE, whose status is its
-    outcome. A directory is read as a whole at OPENDIR. So no handle is ever open at a node between two
-    requests, and each request may go to another node.
+    An upload is buffered in its handle and sent to a node as one command at CLOSE, whose status reports the
+    outcome. A directory is read completely at OPENDIR. So no handle is open at a node between two requests,
+    and each request may go to a different node.
     """
 
     def __init__(
@@ -36,13 +36,13 @@
         scheduler: CommandScheduler,
         count_listed_entries: Callable[[], int],
     ) -> None:
-        """Create the handler of a session that has no open handle.
+        """Create a handler without open handles.
 
         Args:
-            config: the limits of an upload and of open handles.
-            volumes: the tree of paths.
-            scheduler: executes what only a node can do.
-            count_listed_entries: counts the directory entries that all sessions hold in memory.
+            config: limits the size of an upload and the number of open handles.
+            volumes: maps paths to volumes.
+            scheduler: executes commands at storage nodes.
+            count_listed_entries: returns the number of directory entries that all sessions hold in memory.
         """
         self.handles = HandleTable(config.max_handles)
         self._max_upload_bytes = config.max_upload_bytes
@@ -50,16 +50,16 @@
         self._scheduler = scheduler
         self._count_listed_entries = count_listed_entries
 
-    def handle(self, request: packets.Packet) -> _Reply:
-        """Return the handling of a request, to be awaited for its reply.
+    def handle(self, request: packets.Packet) -> _ResponseCoroutine:
+        """Return a coroutine that handles the request and returns its response.
 
-        It raises CommandError for what the gateway answers by itself.
+        The coroutine raises CommandError if the gateway itself answers with a status.
         """
         handler = _HANDLERS.get(type(request), RequestHandler._reject_unsupported)
         return handler(self, request)
 
     async def _reject_unsupported(self, request: packets.Packet) -> packets.Packet:
-        raise CommandError(StatusCode.OP_UNSUPPORTED, "unsupported command")
+        raise CommandError(StatusCode.OP_UNSUPPORTED, "unsupported request type")
 
     async def _realpath(self, request: packets.Realpath) -> packets.Packet:
         path = absolute_path(request.path)
@@ -73,10 +73,12 @@
         if access == OpenFlags.WRITE:
             return self._add_handle(UploadHandle(path, request.flags, request.attributes))
         if access != OpenFlags.READ:
-            raise CommandError(StatusCode.OP_UNSUPPORTED, "open for reading or for writing, not both")
-        reply = await self._execute_simple(path, packets.Stat(0, path), is_write=False)
-        if not isinstance(reply, packets.Attributes):
-            return reply
+            raise CommandError(
+                StatusCode.OP_UNSUPPORTED, "OPEN requires the READ or the WRITE flag, not both"
+            )
+        response = await self._execute_simple(path, packets.Stat(0, path), is_write=False)
+        if not isinstance(response, packets.Attributes):
+            return response
         return self._add_handle(ReadHandle(path))
 
     async def _read(self, request: packets.Read) -> packets.Packet:
@@ -89,7 +91,9 @@
         upload = self.handles.get(request.handle, UploadHandle)
         if upload.size_bytes + len(request.data) > self._max_upload_bytes:
             upload.is_incomplete = True
-            raise CommandError(StatusCode.FAILURE, f"an upload holds at most {self._max_upload_bytes} bytes")
+            raise CommandError(
+                StatusCode.FAILURE, f"upload exceeds the limit of {self._max_upload_bytes} bytes"
+            )
         upload.write(request.offset, request.data)
         return _ok()
 
@@ -98,7 +102,7 @@
         if not isinstance(handle, UploadHandle):
             return _ok()
         if handle.is_incomplete:
-            raise CommandError(StatusCode.FAILURE, "not stored: a write to this handle was turned down")
+            raise CommandError(StatusCode.FAILURE, "upload not stored: a write to this handle was rejected")
         command = Upload(handle.path, handle.flags, handle.attributes, handle.extents)
         return await self._scheduler.execute(command, handle.path, handle.path, handle.size_bytes)
 
@@ -109,16 +113,18 @@
         if entries:
             return self._add_handle(ListingHandle(path, entries))
         if self._count_listed_entries() > MAX_LISTED_ENTRIES:
-            raise CommandError(StatusCode.FAILURE, "too many listings are open")
-        reply = await self._scheduler.execute(ListDirectory(path), path, path, 0)
-        if not isinstance(reply, packets.Name):
-            return reply
-        return self._add_handle(ListingHandle(path, reply.entries))
+            raise CommandError(
+                StatusCode.FAILURE, f"open listings hold more than {MAX_LISTED_ENTRIES} entries"
+            )
+        response = await self._scheduler.execute(ListDirectory(path), path, path, 0)
+        if not isinstance(response, packets.Name):
+            return response
+        return self._add_handle(ListingHandle(path, response.entries))
 
     async def _readdir(self, request: packets.Readdir) -> packets.Packet:
         listing = self.handles.get(request.handle, ListingHandle)
-        entries = listing.entries[:MAX_ENTRIES_PER_REPLY]
-        listing.entries = listing.entries[MAX_ENTRIES_PER_REPLY:]
+        entries = listing.entries[:MAX_ENTRIES_PER_RESPONSE]
+        listing.entries = listing.entries[MAX_ENTRIES_PER_RESPONSE:]
         if not entries:
             return packets.Status(0, StatusCode.EOF, "end of listing")
         return packets.Name(0, entries)
@@ -145,10 +151,10 @@
         path = absolute_path(request.path)
         target = absolute_path(request.target)
         if self._volumes.find(path) != self._volumes.find(target):
-            raise CommandError(StatusCode.FAILURE, "a rename stays within its volume")
+            raise CommandError(StatusCode.FAILURE, "source and target of a rename must be on the same volume")
         return await self._execute_simple(path, packets.Rename(0, path, target), is_write=True)
 
-    def _execute_simple(self, path: str, packet: packets.Packet, is_write: bool) -> _Reply:
+    def _execute_simple(self, path: str, packet: packets.Packet, is_write: bool) -> _ResponseCoroutine:
         return self._scheduler.execute(SimpleCommand(packet, is_write), path, path, 0)
 
     def _add_handle(self, handle: OpenHandle) -> packets.Handle:
@@ -159,7 +165,7 @@
     return packets.Status(0, StatusCode.OK, "ok")
 
 
-_HANDLERS: dict[type[packets.Packet], Callable[[RequestHandler, Any], _Reply]] = {
+_HANDLERS: dict[type[packets.Packet], Callable[[RequestHandler, Any], _ResponseCoroutine]] = {
     packets.Realpath: RequestHandler._realpath,
     packets.Open: RequestHandler._open,
     packets.Read: RequestHandler._read,
--- a/storage_gateway/sftp/scheduler.py
+++ b/storage_gateway/sftp/scheduler.py
@@ -1,4 +1,4 @@
-"""Each command that reaches a storage node as one request of the policy."""
+"""Submission of each command for a storage node to the policy, as one request."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class CommandScheduler:
-    """Hands commands to the executor as reads and writes of their volumes."""
+    """Submits commands to the request executor as reads and writes of their volumes."""
 
     def __init__(
         self,
@@ -33,28 +33,30 @@
         self._node_client = node_client
 
     async def execute(self, command: Command, path: str, item: str, size_bytes: int) -> Packet:
-        """Execute a command and return the node's reply.
+        """Execute a command and return the node's response.
 
         Args:
-            command: what to do.
-            path: the absolute path that it is about.
-            item: names the piece of data that it reads or writes.
-            size_bytes: bytes that it moves, as far as is known.
+            command: the command to execute.
+            path: absolute path that determines the volume.
+            item: identifies the data read or written; hashed into the object key.
+            size_bytes: bytes to transfer as far as known; 0 if none or unknown.
 
         Raises:
-            CommandError: the path belongs to no volume, or the command was rejected or failed.
+            CommandError: the path is not within any volume, or the command was rejected or failed.
         """
         arrival = self._make_arrival(command, path, item, size_bytes)
         result = await self._executor.execute(arrival, lambda node: self._node_client.attempt(node, command))
         match result:
-            case Served(value=reply) if reply is not None:
-                return reply
+            case Served(value=response) if response is not None:
+                return response
             case Rejected(retry_after_s=retry_after_s):
-                advice = f"try again after {max(0.0, retry_after_s):.3f} s"
-                raise CommandError(StatusCode.FAILURE, f"refused, nothing was done: {advice}")
+                retry_hint = f"retry after {max(0.0, retry_after_s):.3f} s"
+                raise CommandError(StatusCode.FAILURE, f"rejected, nothing was done: {retry_hint}")
             case _:
-                effect = "the change may have been made" if command.is_write else "no answer"
-                raise CommandError(StatusCode.FAILURE, f"failed: {effect}")
+                outcome = (
+                    "the change may have been made" if command.is_write else "no node completed the read"
+                )
+                raise CommandError(StatusCode.FAILURE, f"failed: {outcome}")
 
     def _make_arrival(self, command: Command, path: str, item: str, size_bytes: int) -> api.RequestArrived:
         config = self._config
@@ -76,9 +78,9 @@
 
 
 def object_key(item: str) -> int:
-    """Return the number under which the policy knows a piece of data.
+    """Return the key that identifies a piece of data to the policy.
 
-    It is the same for a client's repeat, also after a restart of the gateway.
+    It is the same for a client's retry, also after a restart of the gateway.
     """
     digest = hashlib.blake2b(item.encode("utf-8", "surrogateescape"), digest_size=_OBJECT_KEY_BYTES)
     return int.from_bytes(digest.digest(), "big")
--- a/storage_gateway/sftp/server.py
+++ b/storage_gateway/sftp/server.py
@@ -1,4 +1,4 @@
-"""The SFTP listener and its sessions."""
+"""The SFTP listener and its client sessions."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 class SftpServer:
-    """Listens for clients; it may be opened and closed as often as mastership comes and goes.
+    """Accepts SFTP clients; can be opened and closed repeatedly, as VRRP mastership changes.
 
     Attributes:
-        node_client: executes commands at the nodes; its owner closes it.
-        listener: the listening socket while the server is open.
-        sessions: the clients' connections.
+        node_client: executes commands at the nodes; closed by its owner, not by the server.
+        listener: the listening socket; None while the server is closed.
+        sessions: the open sessions, one for each client connection.
     """
 
     def __init__(
@@ -38,7 +38,7 @@
         self._scheduler = CommandScheduler(config, self._volumes, executor, node_client)
 
     async def open(self) -> None:
-        """Listen, unless it does already.
+        """Start listening; has no effect if the server is already open.
 
         Raises:
             OSError: the address cannot be bound.
@@ -49,7 +49,7 @@
             log.info("sftp_listener_opened", listen=listen)
 
     async def close(self, grace_s: float = 0.0) -> None:
-        """Accept no more clients; each session ends after the command in hand, or when the grace is over."""
+        """Stop accepting clients; each session ends after its current command, or after ``grace_s``."""
         if self.listener is None:
             return
         self.listener.close()
--- a/storage_gateway/sftp/session.py
+++ b/storage_gateway/sftp/session.py
@@ -1,4 +1,4 @@
-"""One client's connection: reads its packets and answers them in turn."""
+"""One client connection: reads request packets and responds to them in order."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 from storage_gateway.sftp.packets import PROTOCOL_VERSION, Init, Packet, Status, Version
 from storage_gateway.sftp.request_handler import RequestHandler
 
-MAX_QUEUED_PACKETS = 8  # requests that wait for their turn; with as many, the socket is not read further
-TRANSFER_TIMEOUT_S = 30.0  # for a client to send the rest of a packet, and to receive a reply
+MAX_QUEUED_PACKETS = 8  # requests that wait to be handled; the socket is not read while the queue is full
+TRANSFER_TIMEOUT_S = 30.0  # for a client to send the rest of a packet, and to receive a response
 log = structlog.get_logger()
 
 
 class _StreamEnd(Enum):
-    """Why no further packet is read."""
+    """Why no further packet is read from the client."""
 
-    CLOSED = "closed"  # by the client, or for its idleness
-    INVALID = "invalid"  # what came is no packet, but the client is there
+    CLOSED = "closed"  # by the client, or because a timeout expired
+    INVALID = "invalid"  # invalid packet length; the client is still connected
 
 
 class Session:
-    """One client's connection; ``run`` owns it and its two tasks, which read and answer."""
+    """One client connection; ``run`` owns it and its two tasks: one reads packets, one responds to them."""
 
     def __init__(
         self,
@@ -48,33 +48,33 @@
         self._ended = asyncio.Event()
 
     async def run(self) -> None:
-        """Serve the client until it closes, breaks the protocol, or the session is ended."""
-        worker = self._worker = asyncio.create_task(self._answer_packets())
+        """Serve the client until it disconnects, violates the protocol, or the session is shut down."""
+        worker = self._worker = asyncio.create_task(self._process_packets())
         reading = asyncio.create_task(self._read_packets())
         try:
             done, _ = await asyncio.wait({reading, worker}, return_when=asyncio.FIRST_COMPLETED)
             if reading in done and reading.result() is _StreamEnd.INVALID:
-                await self._packets.put(None)  # the requests that came before are still answered
+                await self._packets.put(None)  # earlier requests still get their responses
                 await worker
         finally:
             for task in (reading, worker):
-                task.cancel()  # this also cancels the command of a client that has closed
+                task.cancel()  # also cancels the command of a client that disconnected
             await asyncio.gather(reading, worker, return_exceptions=True)
             self._writer.close()
             self._ended.set()
 
     def begin_shutdown(self) -> None:
-        """End after the command in hand, or at once where there is none."""
+        """End the session after the current command, or immediately if there is none."""
         self._is_draining = True
         if not self._is_busy and self._worker:
             self._worker.cancel()
 
     async def wait_ended(self) -> None:
-        """Return once ``run`` is over."""
+        """Wait until ``run`` has ended."""
         await self._ended.wait()
 
     def abort(self) -> None:
-        """Close the connection at once."""
+        """Close the connection immediately."""
         self._writer.transport.abort()
 
     async def _read_packets(self) -> _StreamEnd:
@@ -94,41 +94,43 @@
                 log.warning("sftp_stream_rejected", reason=str(error))
                 return _StreamEnd.INVALID
 
-    async def _answer_packets(self) -> None:
+    async def _process_packets(self) -> None:
         is_first = True
         while (raw := await self._packets.get()) is not None and not self._is_draining:
             self._is_busy = True
-            reply = await self._answer(raw, is_first)
+            response = await self._respond(raw, is_first)
             is_first = False
-            self._writer.write(encode_packet(reply))
+            self._writer.write(encode_packet(response))
             try:
                 async with asyncio.timeout(TRANSFER_TIMEOUT_S):
                     await self._writer.drain()
-            except OSError:  # a time-out is one too
+            except OSError:  # includes TimeoutError
                 return
             self._is_busy = False
-            if _is_fatal(reply):
+            if _is_fatal(response):
                 return
 
-    async def _answer(self, raw: bytes, is_first: bool) -> Packet:
+    async def _respond(self, raw: bytes, is_first: bool) -> Packet:
         try:
             packet = decode_packet(raw)
         except PacketError as error:
             return Status(error.request_id or 0, StatusCode.BAD_MESSAGE, str(error))
         if isinstance(packet, Init) != is_first:
-            return Status(0, StatusCode.BAD_MESSAGE, "INIT comes first, and once")
+            return Status(0, StatusCode.BAD_MESSAGE, "INIT must be the first packet and must not be repeated")
         if isinstance(packet, Init):
             return Version(PROTOCOL_VERSION)
         try:
-            reply = await self.handler.handle(packet)
+            response = await self.handler.handle(packet)
         except CommandError as error:
-            reply = Status(0, error.status_code, error.message)
-        except Exception:  # guards the session: a fault of one command is that command's failure
+            response = Status(0, error.status_code, error.message)
+        except Exception:  # an unexpected error fails the command, not the session
             log.exception("sftp_command_failed")
-            reply = Status(0, StatusCode.FAILURE, "internal error")
-        return replace(reply, request_id=packet.request_id)
+            response = Status(0, StatusCode.FAILURE, "internal error")
+        return replace(response, request_id=packet.request_id)
 
 
-def _is_fatal(reply: Packet) -> bool:
-    """Return whether the client must be disconnected: the reply could not be paired with a request."""
-    return isinstance(reply, Status) and reply.request_id == 0 and reply.code == StatusCode.BAD_MESSAGE
+def _is_fatal(response: Packet) -> bool:
+    """Return whether the client must be disconnected: it cannot match the response to a request."""
+    return (
+        isinstance(response, Status) and response.request_id == 0 and response.code == StatusCode.BAD_MESSAGE
+    )
--- a/storage_gateway/sftp/volumes.py
+++ b/storage_gateway/sftp/volumes.py
@@ -1,4 +1,4 @@
-"""The tree of paths: which volume a path belongs to, and the directories above the volumes."""
+"""The path tree: the volume that a path belongs to, and the directories above the volumes."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 def absolute_path(path: str) -> str:
-    """Return the path from the root, without ``.``, ``..`` and repeated slashes."""
+    """Return the normalized path from the root, without ``.``, ``..`` and repeated slashes."""
     return "/" + posixpath.normpath("/" + path).lstrip("/")
 
 
 class VolumeTree:
-    """The volumes by their paths, which are searched in the order given: the longest prefix first."""
+    """Volumes by path prefix; they must be given longest prefix first, as the first match wins."""
 
     def __init__(self, volumes: list[VolumePath]) -> None:
         self._volumes = volumes
@@ -26,17 +26,17 @@
         """Return the volume that a path belongs to.
 
         Raises:
-            CommandError: it belongs to none.
+            CommandError: the path is not within any volume.
         """
         for volume in self._volumes:
             if path == volume.prefix or path.startswith(volume.prefix.rstrip("/") + "/"):
                 return volume
-        raise CommandError(StatusCode.NO_SUCH_FILE, f"{path}: below no volume")
+        raise CommandError(StatusCode.NO_SUCH_FILE, f"{path}: not within any volume")
 
     def list_above_volumes(self, path: str) -> list[DirectoryEntry]:
-        """Return the entries of a directory that holds volumes and belongs to none.
+        """Return the entries of a directory that contains volumes but is not within one.
 
-        No node knows such a directory. The list is empty for any other path.
+        No storage node holds such a directory. The list is empty for any other path.
         """
         start = path.rstrip("/") + "/"
         if any(start.startswith(volume.prefix + "/") for volume in self._volumes):
--- a/tests/sftp/__init__.py
+++ b/tests/sftp/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the SFTP service, one file a module."""
+"""Tests of the SFTP package, one file for each module."""
--- a/tests/sftp/test_handles.py
+++ b/tests/sftp/test_handles.py
@@ -1,4 +1,4 @@
-"""The open handles of a session."""
+"""Tests of the open handles of a session."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 class UploadHandleTest(unittest.TestCase):
-    """What is gathered from WRITEs."""
+    """Buffering of WRITEs."""
 
-    def test_contiguous_writes_become_one_extent(self) -> None:
+    def test_contiguous_writes_are_merged_into_one_extent(self) -> None:
         upload = UploadHandle("/plats/t1", STORE_FLAGS, NO_ATTRIBUTES)
         for offset, data in ((10, b"ab"), (12, b"cd"), (0, b"ef"), (2, b"gh"), (3, b"i")):
             upload.write(offset, data)
@@ -25,7 +25,7 @@
 
 
 class HandleTableTest(unittest.TestCase):
-    """Ids, kinds and limits."""
+    """Handle ids, handle kinds and limits."""
 
     def test_handle_is_found_by_its_id_and_kind_until_it_is_removed(self) -> None:
         handles = HandleTable(2)
@@ -43,7 +43,7 @@
         handles = HandleTable(1)
         handles.check_capacity()
         handles.add(ReadHandle("/plats/t1"))
-        with pytest.raises(CommandError, match="too many open handles"):
+        with pytest.raises(CommandError, match="too many open handles, the limit is 1"):
             handles.check_capacity()
 
     def test_entries_of_all_listings_are_counted(self) -> None:
--- a/tests/sftp/test_node_client.py
+++ b/tests/sftp/test_node_client.py
@@ -1,4 +1,4 @@
-"""Attempts at a node that breaks, drains or never replies."""
+"""Tests of attempts at a node that disconnects, drains or never responds."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class SftpNodeClientTest(SftpServerCase):
-    """Through a server, as a client meets them."""
+    """Attempts as a client observes them through a server."""
 
-    async def test_upload_that_broke_after_it_may_have_been_stored_is_never_sent_again(self) -> None:
+    async def test_upload_that_may_have_been_stored_is_not_retried_after_a_reset(self) -> None:
         node = FakeSftpNode(breaks_after_store=True)
         client = await self.start(node)
         status = await client.upload("/plats/t1", b"scan")
         assert_status(status, StatusCode.FAILURE, "the change may have been made")
         assert (node.store_counts["/plats/t1"], node.requests.count("Open"), node.accepted) == (1, 1, 1)
 
-    async def test_listing_repeated_after_a_drain_does_not_reach_the_draining_node(self) -> None:
+    async def test_repeated_listing_does_not_reach_a_draining_node(self) -> None:
         draining = FakeSftpNode()
         serving = FakeSftpNode()
         client = await self.start(draining, serving)
@@ -36,7 +36,7 @@
         assert await client.list_directory("/plats") == ["/plats/t1"]
         assert (draining.requests, serving.requests) == (requests_before, requests_before)
 
-    async def test_node_that_drains_while_the_connection_comes_up_is_sent_no_command(self) -> None:
+    async def test_node_that_drains_during_connection_setup_gets_no_command(self) -> None:
         node = FakeSftpNode()
         client = await self.start(node)
 
@@ -45,10 +45,10 @@
             self.executor.post(apply_endpoints(self.registry, endpoint))
 
         node.on_handshake = drain
-        assert_status(await client.upload("/plats/t1", b"scan"), StatusCode.FAILURE, "refused")
+        assert_status(await client.upload("/plats/t1", b"scan"), StatusCode.FAILURE, "rejected")
         assert node.requests == []
 
-    async def test_idle_connection_is_used_again_by_a_read_and_not_by_a_write(self) -> None:
+    async def test_idle_connection_is_reused_by_a_read_and_not_by_a_write(self) -> None:
         node = FakeSftpNode()
         client = await self.start(node)
         await client.list_directory("/plats")
@@ -57,7 +57,7 @@
         await client.upload("/plats/t1", b"scan")
         assert node.accepted == 2
 
-    async def test_node_that_never_replies_is_cancelled_by_the_deadline(self) -> None:
+    async def test_attempt_without_a_response_is_cancelled_at_the_deadline(self) -> None:
         node = FakeSftpNode(never_replies=True)
         client = await self.start(node, command_timeout_s=0.3)
         started_at = self.executor.now()
--- a/tests/sftp/test_request_handler.py
+++ b/tests/sftp/test_request_handler.py
@@ -1,4 +1,4 @@
-"""Requests of a client against a fake node that counts executions of each write."""
+"""Tests of client requests against a fake node that counts executions of each write."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class RequestHandlerTest(SftpServerCase):
-    """Uploads, reads, listings, and what is answered without a node."""
+    """Uploads, reads, listings, and requests that need no node."""
 
     async def test_upload_is_stored_once_and_read_and_listed_and_renamed(self) -> None:
         node = FakeSftpNode()
@@ -37,11 +37,11 @@
         assert_status(status, StatusCode.FAILURE, "not stored")
         assert node.accepted == 0
 
-    async def test_realpath_and_changes_of_a_path_are_answered(self) -> None:
+    async def test_realpath_and_changes_of_a_path_get_responses(self) -> None:
         node = FakeSftpNode()
         client = await self.start(node)
-        reply = await client.request(packets.Realpath(0, "plats/./a/.."))
-        assert [entry.filename for entry in reply.entries] == ["/plats"]
+        response = await client.request(packets.Realpath(0, "plats/./a/.."))
+        assert [entry.filename for entry in response.entries] == ["/plats"]
         for request in (
             packets.Remove(0, "/plats/t1"),
             packets.Rmdir(0, "/plats/d"),
@@ -51,7 +51,7 @@
             assert (await client.request(request)).code == StatusCode.OK
         assert node.requests == ["Remove", "Rmdir", "Mkdir", "Setstat"]
 
-    async def test_size_of_an_upload_under_way_is_known_without_a_node(self) -> None:
+    async def test_size_of_an_unfinished_upload_needs_no_node(self) -> None:
         node = FakeSftpNode()
         client = await self.start(node)
         opened = await client.request(packets.Open(0, "/plats/t1", OpenFlags.WRITE, NO_ATTRIBUTES))
@@ -59,7 +59,7 @@
         assert (await client.request(packets.Fstat(0, opened.handle))).attributes.size == 4
         assert node.accepted == 0
 
-    async def test_listing_is_split_into_replies_of_at_most_64_entries(self) -> None:
+    async def test_listing_is_split_into_responses_of_at_most_64_entries(self) -> None:
         node = FakeSftpNode()
         node.files = {f"/plats/{number}": b"" for number in range(100)}
         client = await self.start(node)
--- a/tests/sftp/test_scheduler.py
+++ b/tests/sftp/test_scheduler.py
@@ -1,4 +1,4 @@
-"""Commands as requests of the policy: rejections and limits."""
+"""Tests of commands as requests to the policy: rejections and limits."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 
 class CommandSchedulerTest(SftpServerCase):
-    """Through a server, as a client meets them."""
+    """Rejections as a client observes them through a server."""
 
-    async def test_without_a_node_a_command_is_rejected_and_nothing_was_done(self) -> None:
+    async def test_command_is_rejected_if_there_is_no_node(self) -> None:
         client = await self.start()
         assert_status(await client.upload("/plats/t1", b"scan"), StatusCode.FAILURE, "nothing was done")
 
     async def test_uploads_beyond_the_rate_limit_of_the_plan_are_rejected(self) -> None:
-        # An instance that starts has nothing in store of the plan's rate limit.
+        # The rate limit's token bucket is empty when an instance starts.
         plan = replace(PUBLIC_PLAN, rate_limit=0.01, rate_limit_burst=8.0)
         node = FakeSftpNode()
         client = await self.start(node, plan=plan, command_timeout_s=0.4)
-        assert_status(await client.upload("/plats/t1", b"scan"), StatusCode.FAILURE, "refused")
+        assert_status(await client.upload("/plats/t1", b"scan"), StatusCode.FAILURE, "rejected")
         self.executor.policy.state.volumes.by_id[7].rate_limit.level = 2.0
         codes = [(await client.upload(f"/plats/u{number}", b"scan")).code for number in range(4)]
         assert (codes.count(StatusCode.OK), sum(node.store_counts.values())) == (2, 2)
--- a/tests/sftp/test_server.py
+++ b/tests/sftp/test_server.py
@@ -1,4 +1,4 @@
-"""The listener and its sessions."""
+"""Tests of the SFTP listener and its sessions."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class SftpServerTest(SftpServerCase):
-    """Opening, closing and the limit of sessions."""
+    """Opening, closing and the session limit."""
 
     async def test_close_ends_idle_sessions_and_the_server_can_be_opened_again(self) -> None:
         client = await self.start()
@@ -24,7 +24,7 @@
         second.writer.write(encode_packet(packets.Init(packets.PROTOCOL_VERSION)))
         assert isinstance(await second.receive(), packets.Version)
 
-    async def test_close_lets_the_command_in_hand_end(self) -> None:
+    async def test_close_waits_for_the_current_command(self) -> None:
         node = FakeSftpNode()
         client = await self.start(node)
         node.files["/plats/t1"] = b"scan"
@@ -36,11 +36,11 @@
             await wait_until(lambda: self.server.listener is None)
             node.may_reply.set()
             await closing
-            reply = await client.receive()
-            assert (reply.request_id, reply.attributes.size) == (1, 4)
+            response = await client.receive()
+            assert (response.request_id, response.attributes.size) == (1, 4)
             assert await client.reader.read() == b""
 
-    async def test_close_aborts_the_command_in_hand_after_the_grace(self) -> None:
+    async def test_close_aborts_the_current_command_after_the_grace_period(self) -> None:
         node = FakeSftpNode(never_replies=True)
         client = await self.start(node, command_timeout_s=5.0)
         client.writer.write(encode_packet(packets.Stat(1, "/plats/t1")))
@@ -50,7 +50,7 @@
             await wait_until(lambda: not self.server.sessions)
         assert not self.executor.pending
 
-    async def test_client_beyond_the_limit_of_sessions_is_disconnected(self) -> None:
+    async def test_client_beyond_the_session_limit_is_disconnected(self) -> None:
         await self.start()
         server = SftpServer(make_sftp_config(), self.executor, self.node_client, 0)
         await server.open()
--- a/tests/sftp/test_session.py
+++ b/tests/sftp/test_session.py
@@ -1,4 +1,4 @@
-"""A client's connection: what is no packet, wrong handles, and a client that closes."""
+"""Tests of a client connection: malformed packets, unknown handles, disconnects and timeouts."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 
 class SessionTest(SftpServerCase):
-    """One server, one or two clients."""
+    """One server with one or two clients."""
 
-    async def test_wrong_packets_handles_and_commands_are_distinguished(self) -> None:
+    async def test_invalid_packets_handles_and_commands_get_distinct_statuses(self) -> None:
         client = await self.start(FakeSftpNode())
         closed = await client.request(packets.Close(0, b"99"))
         assert_status(closed, StatusCode.FAILURE, "unknown handle")
@@ -34,21 +34,21 @@
         assert_status(fifth, StatusCode.FAILURE, "too many")
         extended = pack_uint32(9) + bytes([200]) + pack_uint32(77) + pack_uint32(0)  # SSH_FXP_EXTENDED
         client.writer.write(extended)
-        reply = await client.receive()
-        assert (reply.request_id, reply.code) == (77, StatusCode.OP_UNSUPPORTED)
+        response = await client.receive()
+        assert (response.request_id, response.code) == (77, StatusCode.OP_UNSUPPORTED)
         beyond_packet = pack_uint32(9) + bytes([17]) + pack_uint32(78) + pack_uint32(500)
-        client.writer.write(beyond_packet)  # a path that is longer than the packet
-        reply = await client.receive()
-        assert (reply.request_id, reply.code) == (78, StatusCode.BAD_MESSAGE)
-        client.writer.write(pack_uint32(1 << 30))  # a length that no packet has: the stream is lost
+        client.writer.write(beyond_packet)  # the path is longer than the packet
+        response = await client.receive()
+        assert (response.request_id, response.code) == (78, StatusCode.BAD_MESSAGE)
+        client.writer.write(pack_uint32(1 << 30))  # after an invalid length the next packet cannot be found
         assert await client.reader.read() == b""
         other = await self.connect()
         other.writer.write(encode_packet(packets.Stat(5, "/plats")))
-        reply = await other.receive()
-        assert_status(reply, StatusCode.BAD_MESSAGE, "INIT comes first")
+        response = await other.receive()
+        assert_status(response, StatusCode.BAD_MESSAGE, "INIT must be the first packet")
         assert await other.reader.read() == b""
 
-    async def test_client_that_closes_cancels_its_command(self) -> None:
+    async def test_client_that_disconnects_cancels_its_command(self) -> None:
         node = FakeSftpNode(never_replies=True)
         client = await self.start(node)
         client.writer.write(encode_packet(packets.Stat(1, "/plats/t1")))
@@ -57,7 +57,7 @@
             client.writer.close()
             await wait_until(lambda: not (node.open or self.executor.pending or self.server.sessions))
 
-    async def test_session_that_is_idle_too_long_is_closed(self) -> None:
+    async def test_session_is_closed_after_the_idle_timeout(self) -> None:
         client = await self.start(idle_timeout_s=0.05)
         async with asyncio.timeout(5):
             assert await client.reader.read() == b""
--- a/tests/sftp/test_volumes.py
+++ b/tests/sftp/test_volumes.py
@@ -1,4 +1,4 @@
-"""The tree of paths."""
+"""Tests of the path tree."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class AbsolutePathTest(unittest.TestCase):
-    """Paths as clients write them."""
+    """Normalization of client paths."""
 
     def test_path_is_made_absolute_and_stays_below_the_root(self) -> None:
         for path, expected in (("", "/"), ("a/./b//c/", "/a/b/c"), ("//a", "/a"), ("/a/../../b", "/b")):
@@ -21,18 +21,18 @@
 
 
 class VolumeTreeTest(unittest.TestCase):
-    """Two volumes, one below the other's parent."""
+    """A tree of two volumes at different depths."""
 
     def make_tree(self) -> VolumeTree:
-        """Build a tree with the volumes 1 and 2."""
+        """Build a tree of volume 1 at ``/city/plats`` and volume 2 at ``/scans``."""
         return VolumeTree([VolumePath("/city/plats", 1, 0, 0, 1), VolumePath("/scans", 2, 0, 0, 1)])
 
-    def test_path_belongs_to_the_volume_above_it(self) -> None:
+    def test_path_belongs_to_the_volume_with_its_prefix(self) -> None:
         tree = self.make_tree()
         assert tree.find("/city/plats").volume_id == 1
         assert tree.find("/scans/a/b").volume_id == 2
         for path in ("/", "/city", "/city/plats2", "/scan"):
-            with pytest.raises(CommandError, match="below no volume") as caught:
+            with pytest.raises(CommandError, match="not within any volume") as caught:
                 tree.find(path)
             assert caught.value.status_code is StatusCode.NO_SUCH_FILE
 
