--- a/storage_gateway/sftp_service.py
+++ b/storage_gateway/sftp_service.py
@@ -11,13 +11,13 @@
 
 
 class SftpService:
-    """The SFTP server, its client towards the storage nodes and, where it is on, the VRRP transport.
+    """The SFTP server, its storage node client and, if VRRP is enabled, the VRRP transport.
 
     Args:
         config: the configuration of the gateway instance.
-        sftp_config: its SFTP part, which is on.
-        executor: carries out the requests.
-        registry: where the storage nodes are.
+        sftp_config: the SFTP section of ``config``, which must be enabled.
+        executor: executes the requests as the policy decides.
+        registry: the endpoints of the storage nodes.
     """
 
     def __init__(
@@ -41,10 +41,10 @@
     async def start(
         cls, config: GatewayConfig, executor: RequestExecutor, registry: EndpointRegistry
     ) -> SftpService | None:
-        """Start the service, or return None where the configuration has it off.
+        """Start the service, or return None if the configuration disables it.
 
         Raises:
-            OSError: its address, or that of VRRP, cannot be listened on.
+            OSError: the address of SFTP or of VRRP cannot be bound.
         """
         if config.sftp is None:
             return None
@@ -56,7 +56,7 @@
         return service
 
     async def close(self, grace_s: float) -> None:
-        """Give up mastership, and close the server once its commands have ended, or after ``grace_s``."""
+        """Give up mastership, and close the server after its current commands, or after ``grace_s``."""
         if self._vrrp is not None:
             await self._vrrp.stop()
         await self._server.close(grace_s)
--- a/storage_gateway/vrrp/__init__.py
+++ b/storage_gateway/vrrp/__init__.py
@@ -1,4 +1,4 @@
-"""VRRP version 3: which gateway instance owns the virtual address."""
+"""VRRP version 3: elects the gateway instance that owns the virtual addresses."""
 
 from storage_gateway.vrrp.transport import VrrpTransport
 
--- a/storage_gateway/vrrp/router.py
+++ b/storage_gateway/vrrp/router.py
@@ -1,4 +1,4 @@
-"""The state machine of a VRRP version 3 virtual router (RFC 5798, section 6.4), without clock or socket."""
+"""State machine of a VRRP version 3 virtual router (RFC 5798, section 6.4), without clock or socket."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from storage_gateway.vrrp.advertisement import OWNER_PRIORITY, RELEASE_PRIORITY, Advertisement
 
 _PRIORITY_RANGE = 256  # the divisor of the skew time (RFC 5798, section 6.1)
-_MISSED_ADVERTISEMENTS = 3  # after as many of them, and the skew time, a master counts as down
+_MISSED_ADVERTISEMENTS = 3  # a master counts as down after missing these, plus the skew time
 
 
 class RouterState(Enum):
@@ -21,14 +21,14 @@
 
 
 class VirtualRouter:
-    """One instance's part in a virtual router.
+    """The participation of one gateway instance in a virtual router.
 
-    Each event returns the priority to advertise now, or None where nothing is to be sent. ``now`` is in
+    Each event method returns the priority to advertise now, or None if nothing is to be sent. ``now`` is in
     seconds on the caller's clock.
 
     Attributes:
-        state: the present state.
-        timer_due: when ``timer_fired`` is to be called next, on the caller's clock; infinite for never.
+        state: the current protocol state.
+        timer_due: when to call ``timer_fired`` next, in seconds on the caller's clock; infinity for never.
     """
 
     def __init__(self, priority: int, interval_s: float, preempt: bool, primary_address: str) -> None:
@@ -41,7 +41,7 @@
         self._master_interval_s = interval_s
 
     def startup(self, now: float) -> int | None:
-        """Enter the protocol: the owner of the addresses as master, any other router as backup."""
+        """Start the protocol: the owner of the addresses as master, any other router as backup."""
         if self._priority == OWNER_PRIORITY:
             return self._become_master(now)
         self.state = RouterState.BACKUP
@@ -50,22 +50,22 @@
         return None
 
     def shutdown(self) -> int | None:
-        """Leave the protocol; a master says so, and a backup takes over after its skew time alone."""
+        """Stop the protocol; a master announces it, so that a backup takes over after its skew time alone."""
         was_master = self.state is RouterState.MASTER
         self.state = RouterState.INITIALIZE
         self.timer_due = math.inf
         return RELEASE_PRIORITY if was_master else None
 
     def timer_fired(self, now: float) -> int | None:
-        """Advertise again as master, or take over as backup; a timer that fired early changes nothing."""
+        """Advertise again as master, or take over as backup; has no effect before ``timer_due``."""
         return None if now < self.timer_due else self._become_master(now)
 
     def advertisement_received(self, advertisement: Advertisement, source: str, now: float) -> int | None:
-        """Handle an advertisement for this virtual router.
+        """Process an advertisement for this virtual router.
 
         Args:
-            advertisement: the message.
-            source: the IP address that it came from, which breaks a tie of priorities.
+            advertisement: the received message.
+            source: IP address of the sender, which breaks a tie of priorities.
             now: seconds on the caller's clock.
         """
         if self.state is RouterState.BACKUP:
@@ -100,7 +100,7 @@
         return self._priority
 
     def _follow(self, advertisement: Advertisement, now: float) -> None:
-        """Be the backup of the advertisement's sender, by its interval where it states one."""
+        """Become the backup of the advertisement's sender, with its interval unless that is 0."""
         self.state = RouterState.BACKUP
         self._master_interval_s = advertisement.interval_s or self._interval_s
         self.timer_due = now + self._master_down_interval_s()
--- a/storage_gateway/vrrp/transport.py
+++ b/storage_gateway/vrrp/transport.py
@@ -1,7 +1,7 @@
 """VRRP version 3 (RFC 5798) over UDP.
 
-UDP stands in for IP protocol 112: peers are named instead of a multicast group, so there is no check of the
-TTL, and the checksum covers the VRRP message alone (UDP's own covers the addresses).
+UDP replaces IP protocol 112. Advertisements go to configured peers instead of a multicast group, so the TTL
+is not checked. The checksum covers the VRRP message alone, as the UDP checksum covers the addresses.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 
 
 class VrrpTransport(asyncio.DatagramProtocol):
-    """The socket, clock and timer of a virtual router.
+    """The UDP socket, clock and timer of a virtual router.
 
     ``on_mastership_change`` is awaited for each gain (True) and loss (False) of mastership, one at a time and
-    in their order.
+    in order.
     """
 
     def __init__(self, config: VrrpConfig, on_mastership_change: Callable[[bool], Awaitable[None]]) -> None:
@@ -36,10 +36,10 @@
         self._timer: asyncio.TimerHandle | None = None
         self._is_master = False
         self._mastership_changes: asyncio.Queue[bool] = asyncio.Queue()
-        self._notifier: asyncio.Task[None] | None = None
+        self._notifier_task: asyncio.Task[None] | None = None
 
     async def start(self) -> Address:
-        """Bind the socket and take part in the protocol.
+        """Bind the socket and start the protocol.
 
         Returns:
             The address that the socket is bound to.
@@ -51,46 +51,48 @@
         self._transport, _ = await self._loop.create_datagram_endpoint(
             lambda: self, local_addr=(listen.host, listen.port)
         )
-        self._notifier = asyncio.create_task(self._notify_mastership_changes())
-        self._apply(self.router.startup(self._loop.time()))
+        self._notifier_task = asyncio.create_task(self._notify_mastership_changes())
+        self._apply_event_result(self.router.startup(self._loop.time()))
         return Address(*self._transport.get_extra_info("sockname")[:2])
 
     async def stop(self) -> None:
-        """Announce that this master leaves, so that a backup need not wait for the master-down interval."""
-        self._apply(self.router.shutdown())
+        """Stop; a master announces it, so that a backup need not wait for the master-down interval."""
+        self._apply_event_result(self.router.shutdown())
         if self._transport:
             self._transport.close()
-        if self._notifier:
-            self._notifier.cancel()
-            await asyncio.wait([self._notifier])
+        if self._notifier_task:
+            self._notifier_task.cancel()
+            await asyncio.wait([self._notifier_task])
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Hand an advertisement of a configured peer to the router; anything else is logged and ignored."""
+        """Pass an advertisement from a configured peer to the router; log and ignore anything else."""
         source = addr[0]
         try:
             advertisement = self._decode(data, source)
         except AdvertisementError as error:
             log.warning("vrrp_advertisement_ignored", reason=str(error), source=source)
             return
-        self._apply(self.router.advertisement_received(advertisement, source, self._loop.time()))
+        self._apply_event_result(self.router.advertisement_received(advertisement, source, self._loop.time()))
 
     def error_received(self, exc: Exception) -> None:
-        """Log a peer that cannot be reached; what counts for the protocol is that its advertisements stop."""
+        """Log a failed send; the protocol detects a failed peer by its missing advertisements."""
         log.warning("vrrp_send_failed", reason=str(exc))
 
     def _decode(self, data: bytes, source: str) -> Advertisement:
         if not any(peer.host == source for peer in self.config.peers):
-            raise AdvertisementError("not of a peer")
+            raise AdvertisementError("sender is not a configured peer")
         advertisement = decode_advertisement(data)
         if advertisement.router_id != self.config.router_id:
-            raise AdvertisementError(f"router {advertisement.router_id}")
+            raise AdvertisementError(
+                f"virtual router id is {advertisement.router_id}, expected {self.config.router_id}"
+            )
         return advertisement
 
     def _timer_fired(self) -> None:
-        self._apply(self.router.timer_fired(self._loop.time()))
+        self._apply_event_result(self.router.timer_fired(self._loop.time()))
 
-    def _apply(self, priority: int | None) -> None:
-        """Send what an event returned, set the router's next timer, and pass on a change of mastership."""
+    def _apply_event_result(self, priority: int | None) -> None:
+        """Send the advertisement that an event asked for, set the timer, and queue a mastership change."""
         if priority is not None:
             self._advertise(priority)
         self._set_timer()
@@ -121,7 +123,7 @@
             self._transport.sendto(message, (peer.host, peer.port))
 
     async def _notify_mastership_changes(self) -> None:
-        """Run until cancelled; a listener that cannot be opened is logged and does not end it."""
+        """Run until cancelled; an OSError, such as a listener that cannot be opened, is logged."""
         while True:
             is_master = await self._mastership_changes.get()
             try:
--- a/tests/service/test_sftp_service.py
+++ b/tests/service/test_sftp_service.py
@@ -1,4 +1,4 @@
-"""When the SFTP service is open: always where it is on, with VRRP only while this instance is master."""
+"""Tests that the SFTP service is open while enabled, and with VRRP only while this instance is master."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 from tests.support.project import ROOT
 
 LOOPBACK = "127.0.0.1"
-OWNER_PRIORITY = 255  # of the owner of the addresses, who is master at once (RFC 5798, 6.4.1)
+OWNER_PRIORITY = 255  # the address owner becomes master immediately (RFC 5798, section 6.4.1)
 BACKUP_PRIORITY = 100
-LONG_INTERVAL_S = 10.0  # a backup becomes master after three of them
+LONG_INTERVAL_S = 10.0  # a backup waits for three intervals before it becomes master
 
 
 def find_free_port() -> int:
@@ -71,10 +71,10 @@
         writer.close()
         return True
 
-    async def test_there_is_none_where_the_configuration_has_it_off(self) -> None:
+    async def test_start_returns_none_if_the_configuration_disables_the_service(self) -> None:
         assert await self.start(sftp=None) is None
 
-    async def test_without_vrrp_it_is_open_until_it_is_closed(self) -> None:
+    async def test_service_without_vrrp_is_open_until_it_is_closed(self) -> None:
         sftp = make_sftp_config()
         service = await self.start(sftp)
         assert service is not None
@@ -84,7 +84,7 @@
 
         assert not await self.accepts(sftp.listen)
 
-    async def test_it_is_open_on_a_master_until_it_is_closed(self) -> None:
+    async def test_service_is_open_on_a_master_until_it_is_closed(self) -> None:
         sftp = make_sftp_config()
         service = await self.start(sftp, make_vrrp_config(OWNER_PRIORITY))
         assert service is not None
@@ -98,7 +98,7 @@
 
         assert not await self.accepts(sftp.listen)
 
-    async def test_it_is_closed_on_a_backup(self) -> None:
+    async def test_service_is_closed_on_a_backup(self) -> None:
         sftp = make_sftp_config()
         service = await self.start(sftp, make_vrrp_config(BACKUP_PRIORITY))
         assert service is not None
@@ -109,7 +109,7 @@
         await service.close(grace_s=1.0)
 
 
-def test_a_process_without_the_service_loads_none_of_its_modules() -> None:
+def test_process_without_the_service_loads_none_of_its_modules() -> None:
     program = (
         "import sys, storage_gateway.service;"
         "print([name for name in sys.modules if '.sftp' in name or '.vrrp' in name])"
--- a/tests/vrrp/__init__.py
+++ b/tests/vrrp/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of VRRP, one file a module."""
+"""Tests of the VRRP package, one file for each module."""
--- a/tests/vrrp/test_advertisement.py
+++ b/tests/vrrp/test_advertisement.py
@@ -1,4 +1,4 @@
-"""VRRP advertisements as bytes."""
+"""Tests of the VRRP advertisement encoding."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 class AdvertisementTest(unittest.TestCase):
-    """The codec."""
+    """Encoding, decoding, and rejection of damaged messages."""
 
-    def test_message_survives_encoding_and_damaged_ones_are_rejected(self) -> None:
+    def test_message_survives_encoding_and_damaged_messages_are_rejected(self) -> None:
         advertisement = Advertisement(1, 100, 2.5, ("10.0.0.9",))
         message = encode_advertisement(advertisement)
         assert message[:6] == bytes([49, 1, 100, 1, 0, 250])
@@ -29,19 +29,21 @@
             with pytest.raises(AdvertisementError):
                 decode_advertisement(damaged)
 
-    def test_addresses_of_ip_version_6_survive_encoding(self) -> None:
+    def test_ipv6_addresses_survive_encoding(self) -> None:
         advertisement = Advertisement(1, 100, 1.0, ("2001:db8::1", "2001:db8::2"))
         assert decode_advertisement(encode_advertisement(advertisement)) == advertisement
 
     def test_wrong_address_count_is_rejected(self) -> None:
         message = encode_advertisement(Advertisement(1, 100, 1.0, ("10.0.0.8", "10.0.0.9")))
         for count in (0, 1, 3):
-            with pytest.raises(AdvertisementError, match=f"^{count} addresses$"):
+            with pytest.raises(
+                AdvertisementError, match=f"^address count {count} does not match 8 bytes of addresses$"
+            ):
                 decode_advertisement(_with_address_count(message, count))
 
 
 def _with_address_count(message: bytes, count: int) -> bytes:
-    """Return the message with another count and the checksum made right for it."""
+    """Return the message with another address count and a matching checksum."""
     words = [int.from_bytes(message[start : start + 2], "big") for start in range(0, len(message), 2)]
     words[1] = words[1] & 0xFF00 | count
     words[3] = 0
--- a/tests/vrrp/test_router.py
+++ b/tests/vrrp/test_router.py
@@ -1,4 +1,4 @@
-"""The state machine of a virtual router, with times worked by hand."""
+"""Tests of the virtual router state machine, with times calculated by hand."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class VirtualRouterTest(unittest.TestCase):
-    """Each transition of RFC 5798, section 6.4, that a gateway relies on."""
+    """The transitions of RFC 5798, section 6.4, that a gateway relies on."""
 
     def make_backup(self, priority: int = 128, preempt: bool = True) -> VirtualRouter:
-        """Start a router that is not the owner of the addresses, at the time 100."""
+        """Start a router that does not own the addresses, at time 100."""
         router = VirtualRouter(priority, 1.0, preempt, "10.0.0.2")
         assert router.startup(100.0) is None
         return router
@@ -59,7 +59,7 @@
             router.advertisement_received(make_advertisement(100), "10.0.0.1", 102.0)
             assert router.timer_due == timer_due
 
-    def test_of_two_masters_the_higher_priority_stays_then_the_higher_address(self) -> None:
+    def test_of_two_masters_the_higher_priority_wins_then_the_higher_address(self) -> None:
         cases = (
             (100, "10.0.0.9", True),
             (200, "10.0.0.1", False),
--- a/tests/vrrp/test_transport.py
+++ b/tests/vrrp/test_transport.py
@@ -1,4 +1,4 @@
-"""VRRP over UDP on loopback."""
+"""Tests of VRRP over UDP on loopback."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def make_config(host: str, priority: int) -> VrrpConfig:
-    """Build the configuration of an instance of virtual router 1 that knows no peer yet."""
+    """Build the configuration of an instance of virtual router 1 without peers."""
     return VrrpConfig(Address(host, 0), [], 1, priority, 0.05, True, ["10.0.0.9"])
 
 
@@ -21,7 +21,7 @@
 
 
 class VrrpTransportTest(unittest.IsolatedAsyncioTestCase):
-    """Two instances, or one."""
+    """One or two instances."""
 
     async def test_backup_is_master_once_the_master_has_stopped(self) -> None:
         changes: list[asyncio.Queue[bool]] = [asyncio.Queue(), asyncio.Queue()]
@@ -32,7 +32,7 @@
         async with asyncio.timeout(5):
             while not await changes[0].get():
                 pass
-            while is_master(second):  # it may have been master first, until the other's advertisement
+            while is_master(second):  # it may be master until the first instance's advertisement arrives
                 await changes[1].get()
             await first.stop()
             while not await changes[1].get():
@@ -40,7 +40,7 @@
         assert is_master(second)
         await second.stop()
 
-    async def test_stop_ends_a_notification_that_is_under_way(self) -> None:
+    async def test_stop_cancels_a_notification_in_progress(self) -> None:
         is_notified = asyncio.Event()
         is_cancelled = False
 
