--- a/tests/sftp/test_node_client.py
+++ b/tests/sftp/test_node_client.py
@@ -45,7 +45,9 @@
             self.executor.post(apply_endpoints(self.registry, endpoint))
 
         node.on_handshake = drain
-        assert_status(await client.upload("/plats/t1", b"scan"), StatusCode.FAILURE, "rejected")
+        assert_status(
+            await client.upload("/plats/t1", b"scan"), StatusCode.FAILURE, "rejected, nothing was done"
+        )
         assert node.requests == []
 
     async def test_idle_connection_is_reused_by_a_read_and_not_by_a_write(self) -> None:
--- a/tests/sftp/test_scheduler.py
+++ b/tests/sftp/test_scheduler.py
@@ -21,7 +21,9 @@
         plan = replace(PUBLIC_PLAN, rate_limit=0.01, rate_limit_burst=8.0)
         node = FakeSftpNode()
         client = await self.start(node, plan=plan, command_timeout_s=0.4)
-        assert_status(await client.upload("/plats/t1", b"scan"), StatusCode.FAILURE, "rejected")
+        assert_status(
+            await client.upload("/plats/t1", b"scan"), StatusCode.FAILURE, "rejected, nothing was done"
+        )
         self.executor.policy.state.volumes.by_id[7].rate_limit.level = 2.0
         codes = [(await client.upload(f"/plats/u{number}", b"scan")).code for number in range(4)]
         assert (codes.count(StatusCode.OK), sum(node.store_counts.values())) == (2, 2)
