--- a/storage_gateway/config/__init__.py
+++ b/storage_gateway/config/__init__.py
@@ -1,4 +1,4 @@
-"""Configuration: read once, checked, and handed on as typed values."""
+"""The configuration of a gateway instance: read and checked once, then passed on as typed values."""
 
 from storage_gateway.config.reader import read_configuration
 from storage_gateway.config.schema import (
--- a/storage_gateway/config/schema.py
+++ b/storage_gateway/config/schema.py
@@ -1,4 +1,4 @@
-"""The configuration of a gateway instance as typed values, and what a reload changes of it."""
+"""The configuration of a gateway instance as typed values, and the part of it that a reload changes."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 from storage_gateway import policy_api as api
 
-# Descriptors that are no client's and no storage node's: listeners, the log, two endpoint watches (both are
-# open while discovery moves), configuration files and connections that are still closing.
+# File descriptors for neither clients nor storage nodes: listeners, the log, two endpoint watches (both are
+# open while discovery moves to another address), configuration files and connections that are still closing.
 RESERVED_DESCRIPTORS = 56
 MAX_SFTP_SESSIONS = 32
 DESCRIPTORS_PER_SFTP_SESSION = 3  # the client's connection, a node connection in use and an idle one
-MIN_DESCRIPTORS_PER_SFTP_SESSION = 12  # available ones, so that all sessions take a quarter of them at most
+MIN_DESCRIPTORS_PER_SFTP_SESSION = 12  # unreserved ones, so that all sessions take at most a quarter
 DESCRIPTORS_PER_IDLE_CLIENT = 6
 
-MAX_GRACE_TIMEOUT_S = 3.0  # longer client timeouts do not lengthen the termination grace period
-GRACE_MARGIN_S = 0.7  # which the platform adds to the client timeout
+MAX_GRACE_TIMEOUT_S = 3.0  # longer client timeouts do not extend the termination grace period
+GRACE_MARGIN_S = 0.7  # added by the platform to the client timeout
 
-# Metadata of a field whose change in a reloaded file takes effect at the next start only.
+# Metadata of a field whose change on a reload takes effect only at the next start.
 DEFERRED_ON_RELOAD: Final = {"deferred_on_reload": True}
 
 
@@ -32,14 +32,14 @@
 
 @dataclass(slots=True, frozen=True)
 class VolumePath:
-    """A path of the SFTP service: the files below ``prefix`` belong to one volume.
+    """A path that the SFTP service serves: the files below ``prefix`` belong to one volume.
 
     Attributes:
-        prefix: an absolute path without a trailing slash.
-        volume_id: the volume, as requests name it to the policy.
-        plan_index: index of the volume's plan in ``Settings.plans``.
+        prefix: absolute path without a trailing slash.
+        volume_id: id of the volume in the policy's requests.
+        plan_index: index of the volume's plan in ``api.Settings.plans``.
         shard: the shard that holds the volume; ``api.NO_SHARD`` for none.
-        gateway_count: how many gateway instances serve the volume.
+        gateway_count: number of gateway instances that serve the volume.
     """
 
     prefix: str
@@ -54,16 +54,16 @@
     """The SFTP service, from the ``sftp`` table of the services file.
 
     Attributes:
-        listen: address on which clients connect.
-        volumes: the paths served, the longest prefix first, so that the first match is the closest.
+        listen: address on which SFTP clients connect.
+        volumes: the paths served, the longest prefix first, so that the first match is the most specific.
         read_class: index of the request class of reads and listings.
-        write_class: index of the request class of uploads and changes.
-        node_port: port of the storage nodes' file service; 0 for the port that discovery lists.
-        max_upload_bytes: the most that is buffered for an upload.
+        write_class: index of the request class of uploads and other changes.
+        node_port: port of the storage nodes' SFTP service; 0 for the port that discovery lists.
+        max_upload_bytes: maximum number of bytes buffered for an upload.
         unit_bytes: bytes that count as one unit of a request's size.
-        max_handles: file handles that a session may have open at once.
+        max_handles: maximum number of handles that a session may have open.
         idle_timeout_s: seconds that a client's connection may stay open without a command.
-        command_timeout_s: seconds for a command, as the protocol states no deadline.
+        command_timeout_s: seconds within which a command must end, as SFTP requests carry no deadline.
     """
 
     listen: Address
@@ -84,12 +84,12 @@
 
     Attributes:
         listen: address on which advertisements are received.
-        peers: addresses to which advertisements are sent.
-        router_id: virtual router id, from 1 to 255.
-        priority: this instance's priority, from 1 to 255.
-        interval_s: seconds between advertisements.
-        preempt: whether a higher priority takes over from a master of a lower one.
-        addresses: the virtual IP addresses that are advertised.
+        peers: addresses of the other instances, to which advertisements are sent.
+        router_id: virtual router id, from 1 to 255; it is the same for all instances of the router.
+        priority: this instance's priority, from 1 to 255; with 255 it starts as master.
+        interval_s: seconds between two advertisements of a master.
+        preempt: whether this instance takes over from a master of lower priority.
+        addresses: the virtual IP addresses of the router, which the advertisements list.
     """
 
     listen: Address
@@ -103,17 +103,17 @@
 
 @dataclass(slots=True, frozen=True)
 class ConnectionBudget:
-    """How the process's file descriptors are shared out.
+    """The allocation of the process's file descriptors.
 
-    A request in flight holds its client's connection and at most one to a storage node, so as many
-    descriptors are kept for nodes as for clients, and no attempt fails for want of one.
+    A request in flight holds its client's connection and at most one to a storage node. As many descriptors
+    are therefore kept for nodes as for clients, so that no attempt fails for lack of one.
 
     Attributes:
-        client_connections: the most client connections over HTTP.
-        idle_client_connections: idle ones beyond which each closes with its response: half of what clients
-            open.
-        node_connections: the most connections to storage nodes.
-        sftp_sessions: the most SFTP sessions; 0 where the service is off.
+        client_connections: maximum number of client connections over HTTP.
+        idle_client_connections: number of idle client connections beyond which each connection closes after
+            its response: half of those that clients open.
+        node_connections: maximum number of connections to storage nodes for HTTP requests.
+        sftp_sessions: maximum number of SFTP sessions; 0 if the service is off.
     """
 
     client_connections: int
@@ -122,16 +122,16 @@
     sftp_sessions: int
 
     @classmethod
-    def of(cls, sockets: int, sftp_enabled: bool) -> ConnectionBudget:
-        """Share out a limit of ``sockets`` descriptors."""
-        available = sockets - RESERVED_DESCRIPTORS
+    def of(cls, max_descriptors: int, sftp_enabled: bool) -> ConnectionBudget:
+        """Allocate the descriptors of a process that may open ``max_descriptors`` of them."""
+        available = max_descriptors - RESERVED_DESCRIPTORS
         sessions = (
             min(MAX_SFTP_SESSIONS, available // MIN_DESCRIPTORS_PER_SFTP_SESSION) if sftp_enabled else 0
         )
         half = (available - DESCRIPTORS_PER_SFTP_SESSION * sessions) // 2
         return cls(
             client_connections=half,
-            idle_client_connections=sockets // DESCRIPTORS_PER_IDLE_CLIENT,
+            idle_client_connections=max_descriptors // DESCRIPTORS_PER_IDLE_CLIENT,
             node_connections=half,
             sftp_sessions=sessions,
         )
@@ -139,11 +139,11 @@
 
 @dataclass(slots=True, frozen=True)
 class ReloadResult:
-    """What a reload of the configuration did.
+    """The effect of a reload of the configuration.
 
     Attributes:
-        discovery_moved: whether the file names another discovery address, which now counts.
-        deferred_keys: fields of ``GatewayConfig`` that changed and wait for the next start.
+        discovery_moved: whether the discovery address in the file has changed; the new one is now in use.
+        deferred_keys: fields of ``GatewayConfig`` that have changed, but keep their values until a restart.
     """
 
     discovery_moved: bool
@@ -152,29 +152,31 @@
 
 @dataclass(slots=True)
 class GatewayConfig:
-    """All that a gateway instance is configured with.
+    """The whole configuration of a gateway instance.
 
-    Fields with ``DEFERRED_ON_RELOAD`` are compared on a reload, and their changes reported.
+    A reload compares the fields marked ``DEFERRED_ON_RELOAD`` and reports those that have changed.
 
     Attributes:
         name: the instance's name, for the log.
         listen: address on which HTTP clients connect.
-        discovery: address of the discovery service in use; ``RELAY_DISCOVERY`` or a reload sets it.
+        discovery: address of the discovery service in use: that of the file, unless ``RELAY_DISCOVERY`` was
+            set at the start and no reload has replaced it since.
         seed: seed of the instance's random numbers.
         connection_budget: limits on the numbers of connections.
-        known_endpoints: an earlier endpoint list in discovery's JSON form, not yet checked; empty for none.
+        known_endpoints: an earlier endpoint list in discovery's JSON format, not yet checked; empty for none.
         settings: the policy's settings.
         class_indexes: index of each request class by its name.
         plan_indexes: index of each plan by its name.
-        client_timeouts_s: by class, the most seconds that its clients wait; infinite where nothing is said.
-        class_is_write: by class, whether it changes data; empty where nothing is said.
-        shard_count: number of shards, which count from 0; 0 where nothing is said.
+        client_timeouts_s: by class, the maximum seconds that its clients wait; infinite if not configured.
+        class_is_write: by class, whether its requests change data; empty if not configured.
+        shard_count: number of shards, which are numbered from 0; 0 if not configured.
         zone_indexes: index of each zone by its name.
-        connect_timeout_s: seconds for a connection to a storage node.
-        idle_close_s: seconds after which an idle node connection is closed.
-        configured_discovery: discovery's address as the file has it, whatever ``RELAY_DISCOVERY`` says.
-        sftp: the SFTP service; None where it is off.
-        vrrp: the virtual router; None where it is off.
+        connect_timeout_s: seconds within which a connection to a storage node must be established.
+        idle_close_s: seconds after which an idle connection to a storage node is closed.
+        configured_discovery: the discovery address in the file, even if ``RELAY_DISCOVERY`` overrides it; an
+            empty host and port 0 if the file has none.
+        sftp: the SFTP service; None if it is off.
+        vrrp: the virtual router; None if it is off.
     """
 
     name: str = field(metadata=DEFERRED_ON_RELOAD)
@@ -197,27 +199,29 @@
     vrrp: VrrpConfig | None = field(default=None, metadata=DEFERRED_ON_RELOAD)
 
     def termination_grace_period_s(self) -> float:
-        """Seconds from SIGTERM to SIGKILL: the longest client timeout, 3 s at most, and 0.7 s more."""
+        """Return the seconds from SIGTERM to SIGKILL: the longest client timeout, at most 3 s, plus 0.7 s."""
         return min(MAX_GRACE_TIMEOUT_S, max(self.client_timeouts_s)) + GRACE_MARGIN_S
 
     def apply_reload(self, new: GatewayConfig) -> ReloadResult:
-        """Take over the address of discovery from a configuration that was read anew.
+        """Adopt the discovery address of a configuration that has been read again.
 
-        An address that changed in the file wins over ``RELAY_DISCOVERY``, as the environment of a running
-        process cannot be changed from outside. ``known_endpoints`` and ``seed`` count at a start only, and
-        their changes are not reported; the policy's settings hold the seed too, so it is made equal first.
+        An address that has changed in the file overrides ``RELAY_DISCOVERY``, as the environment of a running
+        process cannot be changed from outside. ``known_endpoints`` and ``seed`` apply only at a start, and
+        their changes are not reported. The policy's settings hold the seed too, so it is copied into ``new``
+        before they are compared.
         """
         new.settings.seed = self.settings.seed
-        deferred_keys = self._changed_keys_that_wait(new)
+        deferred_keys = self._list_deferred_changes(new)
         discovery_moved = new.configured_discovery != self.configured_discovery
         self.configured_discovery = new.configured_discovery
         if discovery_moved:
             self.discovery = new.configured_discovery
         return ReloadResult(discovery_moved, deferred_keys)
 
-    def _changed_keys_that_wait(self, new: GatewayConfig) -> list[str]:
+    def _list_deferred_changes(self, new: GatewayConfig) -> list[str]:
         return [
-            key.name
-            for key in fields(self)
-            if key.metadata == DEFERRED_ON_RELOAD and getattr(self, key.name) != getattr(new, key.name)
+            config_field.name
+            for config_field in fields(self)
+            if config_field.metadata == DEFERRED_ON_RELOAD
+            and getattr(self, config_field.name) != getattr(new, config_field.name)
         ]
--- a/storage_gateway/config/services.py
+++ b/storage_gateway/config/services.py
@@ -1,4 +1,4 @@
-"""The services file of a deployment: SFTP for clients that use files, and VRRP between instances."""
+"""Reads the services file of a deployment, which configures SFTP for clients and VRRP between instances."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from storage_gateway.policy_api import NO_SHARD
 
 DEFAULT_SERVICES_FILE = Path(__file__).resolve().parents[2] / "deploy" / "fronts.toml"
-MAX_UPLOAD_BYTES = 64 * 1024  # an upload is one request to a storage node, whose body is no longer
+MAX_UPLOAD_BYTES = 64 * 1024  # an upload is one request to a storage node, whose body has this limit
 DEFAULT_UNIT_BYTES = 8192
 MAX_HANDLES = 1024
 DEFAULT_MAX_HANDLES = 16
@@ -21,16 +21,16 @@
 DEFAULT_COMMAND_TIMEOUT_S = 1.5
 MAX_SHARD = 1 << 31
 MAX_VOLUME_GATEWAY_COUNT = 1 << 16
-MAX_ROUTER_ID = 255  # one octet of an advertisement, as the priority
-MAX_PRIORITY = 255
+MAX_ROUTER_ID = 255  # one octet of an advertisement
+MAX_PRIORITY = 255  # one octet of an advertisement
 DEFAULT_PRIORITY = 100
-MAX_INTERVAL_CS = 4095  # 12 bits of an advertisement
+MAX_INTERVAL_CS = 4095  # in centiseconds; 12 bits of an advertisement
 DEFAULT_INTERVAL_CS = 100
 
 
 @dataclass(slots=True, frozen=True)
 class ServicesConfig:
-    """The services beside HTTP; one that is off is None."""
+    """The services other than HTTP; None for one that is off."""
 
     sftp: SftpConfig | None = None
     vrrp: VrrpConfig | None = None
@@ -39,15 +39,15 @@
 def read_services(
     path: Path, class_indexes: Mapping[str, int], plan_indexes: Mapping[str, int]
 ) -> ServicesConfig:
-    """Read the services file; a service whose table is absent or not ``enabled`` is off.
+    """Read the services file; a service is off if its table is missing or not ``enabled``.
 
     Args:
-        path: the file, in TOML; where there is none, all services are off.
+        path: the TOML file; if it does not exist, all services are off.
         class_indexes: index of each request class by its name.
         plan_indexes: index of each plan by its name.
 
     Raises:
-        ConfigurationError: the file cannot be read, or a key of it is faulty or unknown.
+        ConfigurationError: the file cannot be read, or a key is missing, unknown or has an invalid value.
     """
     try:
         values = tomllib.loads(path.read_text())
@@ -85,9 +85,9 @@
 
 
 def _read_volume(table: ConfigTable, plan_indexes: Mapping[str, int]) -> VolumePath:
-    prefix = table.text("path")
+    prefix = table.string("path")
     if not prefix.startswith("/") or prefix != "/" + prefix.strip("/"):
-        raise table.error("path", f"want an absolute path without a closing slash, found {prefix!r}")
+        raise table.error("path", f"expected an absolute path without a trailing slash, found {prefix!r}")
     volume = VolumePath(
         prefix=prefix,
         volume_id=_read_volume_id(table),
@@ -100,23 +100,23 @@
 
 
 def _read_volume_id(table: ConfigTable) -> int:
-    digits = table.text("volume")
+    digits = table.string("volume")
     try:
         return int(digits, 16)
     except ValueError as error:
-        raise table.error("volume", f"want hex digits, found {digits!r}") from error
+        raise table.error("volume", f"expected a hexadecimal number, found {digits!r}") from error
 
 
 def _read_vrrp(table: ConfigTable) -> VrrpConfig | None:
     if not table.boolean("enabled"):
         return None
     for key in ("peers", "addresses"):
-        table.value(key)  # an error where one is missing, before either is checked further
-    peers = _read_required_texts(table, "peers")
-    addresses = _read_required_texts(table, "addresses")
+        table.value(key)  # reports a missing key before an invalid value of either
+    peers = _read_non_empty_strings(table, "peers")
+    addresses = _read_non_empty_strings(table, "addresses")
     config = VrrpConfig(
         listen=table.address("listen"),
-        peers=[read_address(peer, f"{table.path}peers") for peer in peers],
+        peers=[read_address(peer, f"{table.key_prefix}peers") for peer in peers],
         router_id=table.integer("router", 1, MAX_ROUTER_ID),
         priority=table.integer("priority", 1, MAX_PRIORITY, DEFAULT_PRIORITY),
         interval_s=table.integer("interval_cs", 1, MAX_INTERVAL_CS, DEFAULT_INTERVAL_CS) / 100,
@@ -127,8 +127,8 @@
     return config
 
 
-def _read_required_texts(table: ConfigTable, key: str) -> list[str]:
-    texts = table.texts(key)
-    if not texts:
-        raise table.error(key, "want a list of texts")
-    return texts
+def _read_non_empty_strings(table: ConfigTable, key: str) -> list[str]:
+    strings = table.strings(key)
+    if not strings:
+        raise table.error(key, "expected a non-empty list of strings, found an empty one")
+    return strings
--- a/storage_gateway/config/settings.py
+++ b/storage_gateway/config/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings, translated into those of the policy."""
+"""Translates the settings that the platform gives an instance into the settings of the policy."""
 
 from __future__ import annotations
 
@@ -18,31 +18,35 @@
 MAX_ATTEMPTS = 1000
 
 
-def read_settings(facts: Mapping[str, Any], seed: int) -> api.Settings:
-    """Translate the platform's settings; unknown keys are ignored, an absent or null number is 0.
+def read_settings(values: Mapping[str, Any], seed: int) -> api.Settings:
+    """Translate the platform's settings.
+
+    Unknown keys are ignored. An optional number that is missing or null is 0, or None where the field of
+    ``api.Settings`` allows it.
 
     Args:
-        facts: the ``settings`` table of the configuration, or the facts that the simulator gives an instance.
+        values: the ``settings`` table of the configuration file, or the settings that the simulator gives an
+            instance.
         seed: seed of the policy's random numbers.
 
     Raises:
-        ConfigurationError: a key is missing or its value cannot be used.
+        ConfigurationError: a key is missing or has an invalid value.
     """
-    root = ConfigTable(facts, "settings.")
+    root = ConfigTable(values, "settings.")
     safety = root.table("Safety", {})
     limits = root.table("PolicyLimits")
     extra = root.table("Extra", {})
     classes = [_read_class(table) for table in root.tables("Lanes")]
     plans = [_read_plan(table) for table in root.tables("Contracts")]
     if not any(request_class.priority_weight for request_class in classes):
-        raise root.error("Lanes[0].Worth", "want a class of some worth")
+        raise root.error("Lanes[0].Worth", "expected at least one class with a weight above 0, found none")
     return api.Settings(
         classes=classes,
         plans=plans,
         safety=_read_safety_limits(safety),
         seed=seed,
         gateway_count=root.integer("Siblings", 0, MAX_GATEWAY_COUNT, 0),
-        must_watch_endpoints=facts.get("Discovery") == "subscribe",
+        must_watch_endpoints=values.get("Discovery") == "subscribe",
         max_attempts=limits.integer("SendCap", 1, MAX_ATTEMPTS),
         can_cancel=limits.boolean("Cancel"),
         slow_start_units=extra.number("ColdUnits", 0.0),
@@ -93,7 +97,7 @@
 
 
 def _read_overload_window(table: ConfigTable, slow_start_window_s: float) -> float:
-    """Read the overload window, which nodes that start slowly cannot do without."""
+    """Read the overload window; it is required and must be above 0 if nodes have a slow start."""
     if slow_start_window_s:
         return table.positive_number("TipAfterS")
     return table.number("TipAfterS", 0.0)
--- a/tests/config/test_reader.py
+++ b/tests/config/test_reader.py
@@ -1,4 +1,4 @@
-"""The configuration file and the environment; each fault is named by its key."""
+"""Reading the configuration file and the environment variables; each error names the faulty key."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 
 
 class ReadConfigurationTest(unittest.TestCase):
-    """Faults of the whole file."""
+    """Errors in several tables of the file."""
 
     def test_error_starts_with_the_path_of_the_faulty_key(self) -> None:
-        classes = [{**SETTINGS["Lanes"][0], "Repeat": "tea"}]
+        classes = [{**SETTINGS["Lanes"][0], "Repeat": "unknown"}]
         cases: list[tuple[dict[str, Any], str]] = [
             ({"seed": "xyz"}, "seed:"),
             ({"settings": {**SETTINGS, "Lanes": classes}}, "settings.Lanes[0].Repeat:"),
@@ -39,11 +39,11 @@
         ]
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "config.json"
-            for change, start in cases:
+            for change, expected_start in cases:
                 path.write_text(json.dumps({**make_file_values(), **change}))
                 with pytest.raises(ConfigurationError) as caught:
                     read_configuration({"RELAY_CONFIG": str(path)})
-                assert str(caught.value).startswith(start), caught.value
+                assert str(caught.value).startswith(expected_start), caught.value
 
 
 @pytest.mark.parametrize(
@@ -66,21 +66,21 @@
         (("settings",), [], "settings"),
     ],
 )
-def test_invalid_value_is_named_by_its_key(tmp_path: Path, keys: Keys, value: Any, faulty_key: str) -> None:
+def test_error_names_the_faulty_key(tmp_path: Path, keys: Keys, value: Any, faulty_key: str) -> None:
     with pytest.raises(ConfigurationError) as caught:
         read_changed(tmp_path, keys, value)
     assert str(caught.value).startswith(f"{faulty_key}: ")
     assert "\n" not in str(caught.value)
 
 
-def test_file_that_is_nested_without_end_is_a_configuration_error(tmp_path: Path) -> None:
+def test_deeply_nested_file_is_a_configuration_error(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text("[" * 200_000)
     with pytest.raises(ConfigurationError, match=r"^RELAY_CONFIG: "):
         read_configuration({"RELAY_CONFIG": str(path)})
 
 
-def test_classes_of_another_deployment_need_nothing_but_their_settings(tmp_path: Path) -> None:
+def test_classes_are_defined_by_their_settings_alone(tmp_path: Path) -> None:
     classes = [
         {"Name": "a", "AimS": 9.0, "GiveUpS": 20.0, "Repeat": "once", "Worth": 0.0},
         {"Name": "b", "AimS": 0.01, "GiveUpS": 0.02, "Repeat": "by_key", "DedupScope": "cell", "Worth": 7.0},
@@ -90,7 +90,7 @@
     assert Policy(config.settings).step(0.0, []) == []
 
 
-def test_environment_wins_over_the_file(tmp_path: Path) -> None:
+def test_environment_overrides_the_file(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(make_file_values()))
     environment = {
--- a/tests/config/test_schema.py
+++ b/tests/config/test_schema.py
@@ -1,4 +1,4 @@
-"""The typed configuration: the connection budget, the grace period and what a reload changes."""
+"""The typed configuration: the connection budget, the termination grace period and reloads."""
 
 from __future__ import annotations
 
@@ -10,29 +10,29 @@
 
 
 class ConnectionBudgetTest(unittest.TestCase):
-    """How the descriptors are shared out."""
+    """The allocation of file descriptors."""
 
-    def test_all_descriptors_fit_into_the_limit(self) -> None:
-        for sockets in (112, 500, 1024, 1 << 20):
+    def test_allocation_uses_all_descriptors_within_the_limit(self) -> None:
+        for max_descriptors in (112, 500, 1024, 1 << 20):
             for sftp_enabled in (False, True):
-                budget = ConnectionBudget.of(sockets, sftp_enabled)
+                budget = ConnectionBudget.of(max_descriptors, sftp_enabled)
                 in_use = budget.client_connections + budget.node_connections + 3 * budget.sftp_sessions
-                assert sockets - 56 - 1 <= in_use <= sockets - 56
+                assert max_descriptors - 56 - 1 <= in_use <= max_descriptors - 56
                 assert budget.node_connections >= budget.client_connections
                 assert (budget.sftp_sessions > 0) is sftp_enabled
 
-    def test_default_limit_is_shared_out_as_documented(self) -> None:
+    def test_default_limit_is_allocated_as_documented(self) -> None:
         assert ConnectionBudget.of(1024, True) == ConnectionBudget(436, 170, 436, 32)
 
 
 class GatewayConfigTest(unittest.TestCase):
-    """The grace period and the reload."""
+    """The termination grace period and the effect of a reload."""
 
     def test_grace_period_follows_the_longest_client_timeout_up_to_three_seconds(self) -> None:
         assert make_config(client_timeouts_s=[0.5, 1.5]).termination_grace_period_s() == 1.5 + 0.7
         assert make_config(client_timeouts_s=[0.5, math.inf]).termination_grace_period_s() == 3.0 + 0.7
 
-    def test_reload_moves_discovery_where_the_file_names_another_address(self) -> None:
+    def test_reload_adopts_a_discovery_address_that_changed_in_the_file(self) -> None:
         config = make_config(discovery=Address("from-environment", 1))
         moved = make_config(configured_discovery=Address("127.0.0.1", 2))
         assert config.apply_reload(make_config()) == ReloadResult(False, [])
@@ -41,7 +41,7 @@
         assert config.discovery == Address("127.0.0.1", 2)
         assert config.configured_discovery == Address("127.0.0.1", 2)
 
-    def test_reload_names_the_changed_keys_that_wait_for_the_next_start(self) -> None:
+    def test_reload_reports_changed_keys_that_take_effect_at_the_next_start(self) -> None:
         config = make_config()
         new = make_config(
             name="n1",
@@ -55,7 +55,7 @@
         assert result.deferred_keys == ["name", "listen", "settings", "idle_close_s"]
         assert config.name == "n0"
 
-    def test_reload_leaves_the_seed_out_of_the_comparison(self) -> None:
+    def test_reload_does_not_compare_the_seed(self) -> None:
         new = make_config()
         new.settings.seed += 1
         assert make_config().apply_reload(new) == ReloadResult(False, [])
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings; each fault is named by its key."""
+"""Translating the platform's settings; each error names the faulty key."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     ("keys", "value", "faulty_key"),
     [
         (("settings", "Lanes"), [], "settings.Lanes"),
-        (("settings", "Lanes"), {"Name": "tea"}, "settings.Lanes"),
+        (("settings", "Lanes"), {"Name": "not-a-list"}, "settings.Lanes"),
         (("settings", "Contracts"), [], "settings.Contracts"),
         (("settings", "Contracts"), ABSENT, "settings.Contracts"),
         ((*CLASS, "AimS"), 0, "settings.Lanes[0].AimS"),
@@ -39,15 +39,15 @@
         ((*LIMITS, "Cancel"), "yes", "settings.PolicyLimits.Cancel"),
     ],
 )
-def test_invalid_value_is_named_by_its_key(tmp_path: Path, keys: Keys, value: Any, faulty_key: str) -> None:
+def test_error_names_the_faulty_key(tmp_path: Path, keys: Keys, value: Any, faulty_key: str) -> None:
     with pytest.raises(ConfigurationError) as caught:
         read_changed(tmp_path, keys, value)
     assert str(caught.value).startswith(f"{faulty_key}: ")
     assert "\n" not in str(caught.value)
 
 
-def test_one_class_must_have_a_weight() -> None:
-    classes = [{**one, "Worth": 0.0} for one in SETTINGS["Lanes"]]
+def test_one_class_must_have_a_weight_above_0() -> None:
+    classes = [{**request_class, "Worth": 0.0} for request_class in SETTINGS["Lanes"]]
     with pytest.raises(ConfigurationError, match=r"^settings\.Lanes\[0\]\.Worth: "):
         read_settings({**SETTINGS, "Lanes": classes}, seed=0)
 
@@ -59,4 +59,4 @@
 
 
 def test_unknown_keys_are_ignored() -> None:
-    assert read_settings({**SETTINGS, "Unheard": 1}, seed=5) == read_settings(SETTINGS, seed=5)
+    assert read_settings({**SETTINGS, "UnknownKey": 1}, seed=5) == read_settings(SETTINGS, seed=5)
--- a/tests/service/test_reload.py
+++ b/tests/service/test_reload.py
@@ -58,7 +58,7 @@
 
         good = json.loads(self.config_path.read_text())
         changes: list[tuple[dict[str, Any], bytes]] = [
-            ({"discovery": "nowhere"}, b"discovery: want HOST:PORT"),
+            ({"discovery": "nowhere"}, b"discovery: expected HOST:PORT"),
             (
                 {"discovery": second_address, "listen": "127.0.0.1:9"},
                 b"discovery_moved=True deferred_keys=['listen']",
