--- a/storage_gateway/simulator_adapter.py
+++ b/storage_gateway/simulator_adapter.py
@@ -1,7 +1,7 @@
-"""Adapter to the simulator's wire: batches of events on standard input, decisions on standard output.
+"""Adapter to the simulator: reads batches of events from standard input, writes actions to standard output.
 
-A batch is one line of JSON and has one line of JSON as its answer. The simulator plays many gateway instances
-in one process, each of them with a policy of its own. The adapter translates and decides nothing.
+A batch is one line of JSON, and so is the reply to it. The simulator runs many gateway instances in one
+process, each with its own policy. The adapter only translates; the policies make all decisions.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 from storage_gateway.program import run_program
 
 WireObject = dict[str, Any]
-"""An object of the wire, as it was read from JSON or is to be written; its keys are the simulator's."""
+"""A JSON object of the simulator's protocol, whose keys the simulator defines."""
 
 EndpointLists = dict[int, list[api.EndpointEntry]]
-"""Endpoint lists by the number that the simulator gave them."""
+"""Endpoint lists by the number under which the simulator refers to them (``Slot``)."""
 
-OUTCOMES = {
+OUTCOME_BY_DISPOSITION = {
     "completed": api.AttemptOutcome.SERVED,
     "errored": api.AttemptOutcome.ERROR,
     "saturated": api.AttemptOutcome.REJECTED,
@@ -33,34 +33,37 @@
     "recalled": api.AttemptOutcome.CANCELLED,
     "superseded": api.AttemptOutcome.NOT_SENT,
 }
-ENDPOINT_STATES = {
+ENDPOINT_STATE_BY_NAME = {
     "live": api.EndpointState.SERVING,
     "quiescing": api.EndpointState.DRAINING,
     "dead": api.EndpointState.REMOVED,
 }
-UPDATE_KINDS = {
+UPDATE_KIND_BY_MODE = {
     "incr": api.EndpointUpdateKind.DELTA,
     "total": api.EndpointUpdateKind.SNAPSHOT,
     "warm_copy": api.EndpointUpdateKind.CACHED,
     "lost": api.EndpointUpdateKind.UNAVAILABLE,
 }
-# The first is of a response that has begun, which concerns the client alone; the others answer questions that
-# a policy never puts.
+# FIRST reports that a response has begun, which concerns only the client. HEALTH and MAIL reply to queries
+# that the policy never sends.
 IGNORED_EVENTS = {"FIRST", "HEALTH", "MAIL"}
 
 
 class SimulatorAdapter:
-    """All gateway instances of one process; they share nothing but the endpoint lists as they were read."""
+    """The gateway instances of one simulator process, which share only the decoded endpoint lists."""
 
     def __init__(self) -> None:
-        self._policies: dict[int, Policy] = {}  # by the number of the instance
+        self._policies: dict[int, Policy] = {}  # by instance number
         self._endpoint_lists: EndpointLists = {}
 
-    def reply(self, line: str) -> WireObject:
-        """Return the answer to one batch.
+    def process_batch(self, line: str) -> WireObject:
+        """Pass the events of a batch to the policies, and return the reply with their actions.
+
+        Args:
+            line: the batch, as one line of JSON.
 
         Raises:
-            WireFormatError: the line is no batch, or holds an event that cannot be read.
+            WireFormatError: the line is not a batch, or an event in it is malformed or of an unknown type.
         """
         try:
             batch = json.loads(line)
@@ -71,87 +74,90 @@
             for wire_event in wire_events:
                 self._read_event(wire_event, events_by_instance)
         except (KeyError, TypeError, ValueError, IndexError, AttributeError) as error:
-            raise WireFormatError(f"malformed batch: {type(error).__name__}: {error}") from error
+            raise WireFormatError(f"malformed batch of events: {type(error).__name__}: {error}") from error
         steps: list[WireObject] = []
         for instance, events in events_by_instance.items():
-            steps.extend(self._step(instance, now, events))
+            steps.extend(self._step_policy(instance, now, events))
         return {"round": round_number, "steps": steps}
 
     def _read_event(self, wire_event: WireObject, events_by_instance: dict[int, list[api.Event]]) -> None:
-        """Keep an endpoint list, start or stop an instance, or translate an event for one."""
-        kind = wire_event["type"]
-        if kind == "CATALOG":
+        """Store an endpoint list, start or stop an instance, or translate an event for its policy.
+
+        Events for an instance that is not running are dropped.
+        """
+        event_type = wire_event["type"]
+        if event_type == "CATALOG":
             entries = [read_entry(entry) for entry in wire_event["Elements"]]
             self._endpoint_lists[wire_event["Slot"]] = entries
             return
         instance = wire_event["Head"]
-        if kind == "BORN":
+        if event_type == "BORN":
             events_by_instance.pop(instance, None)
             self._policies[instance] = Policy(read_settings(wire_event["Facts"], wire_event["RngSeed"]))
             events_by_instance[instance] = []
-        elif kind == "SHUTDOWN":
+        elif event_type == "SHUTDOWN":
             events_by_instance.pop(instance, None)
             self._policies.pop(instance, None)
-        elif kind not in IGNORED_EVENTS:
-            event = read_event(kind, wire_event, self._endpoint_lists)
+        elif event_type not in IGNORED_EVENTS:
+            event = read_event(event_type, wire_event, self._endpoint_lists)
             if instance in self._policies:
                 events_by_instance.setdefault(instance, []).append(event)
 
-    def _step(self, instance: int, now: float, events: list[api.Event]) -> list[WireObject]:
-        """Return the actions of one instance on its events of the batch."""
+    def _step_policy(self, instance: int, now: float, events: list[api.Event]) -> list[WireObject]:
+        """Return the actions of an instance's policy for its events in the batch."""
         try:
             actions = self._policies[instance].step(now, events)
-        except Exception as error:  # a fault of the policy is reported on the wire, whatever it is
+        except Exception as error:  # any fault of a policy is reported to the simulator
             message = f"{type(error).__name__}: {error}"
             return [{"type": "INTERNAL_ERROR", "Head": instance, "Msg": message}]
         return [write_action(instance, action) for action in actions]
 
 
-def serve(source: TextIO, sink: TextIO) -> None:
-    """Answer batch after batch until the input ends.
+def serve(input_stream: TextIO, output_stream: TextIO) -> None:
+    """Reply to each batch until the input ends.
 
     Raises:
-        WireFormatError: a line is no batch.
+        WireFormatError: a line is not a valid batch.
     """
     adapter = SimulatorAdapter()
-    for line in source:
-        sink.write(json.dumps(adapter.reply(line), separators=(",", ":")) + "\n")
-        sink.flush()
+    for line in input_stream:
+        output_stream.write(json.dumps(adapter.process_batch(line), separators=(",", ":")) + "\n")
+        output_stream.flush()
 
 
 def main() -> int:
-    """Serve the simulator on standard input and output, and return the exit status of the process."""
+    """Serve the simulator on standard input and output; return the exit status of the process."""
     return run_program("simulator_adapter", lambda: serve(sys.stdin, sys.stdout), WireFormatError)
 
 
 def read_entry(entry: WireObject) -> api.EndpointEntry:
-    """Translate one endpoint of a list."""
+    """Translate one entry of an endpoint list; a missing shard, zone or start time takes its default."""
     shard = entry.get("Pack")
     return api.EndpointEntry(
         node=entry["Shelf"],
         shard=api.NO_SHARD if shard is None else shard,
         zone=entry.get("Area") or 0,
-        state=ENDPOINT_STATES[entry["StageState"]],
+        state=ENDPOINT_STATE_BY_NAME[entry["StageState"]],
         started_at=entry.get("UpSinceS") or 0.0,
     )
 
 
-def read_event(kind: str, event: WireObject, endpoint_lists: EndpointLists) -> api.Event:
-    """Translate one event of an instance that is running.
+def read_event(event_type: str, event: WireObject, endpoint_lists: EndpointLists) -> api.Event:
+    """Translate an event for the policy of an instance.
 
     Raises:
-        WireFormatError: its kind is unknown.
+        WireFormatError: the type of the event is unknown.
     """
-    if kind == "ROSTER_CHANGE":
+    if event_type == "ROSTER_CHANGE":
         return _read_endpoints_changed(event, endpoint_lists)
-    read = _EVENT_READERS.get(kind)
-    if read is None:
-        raise WireFormatError(f"unknown event type {kind!r}")
-    return read(event)
+    reader = _EVENT_READERS.get(event_type)
+    if reader is None:
+        raise WireFormatError(f"unknown event type {event_type!r}")
+    return reader(event)
 
 
 def write_action(instance: int, action: api.Action) -> WireObject:
-    """Translate one action of an instance."""
+    """Translate an action of an instance's policy for the simulator."""
     match action:
         case api.SendAttempt(request_id, node):
             return {"type": "ROUTE", "Head": instance, "Req": request_id, "Shelf": node}
@@ -168,7 +174,7 @@
 
 
 def _read_endpoints_changed(event: WireObject, endpoint_lists: EndpointLists) -> api.EndpointsChanged:
-    kind = UPDATE_KINDS[event["Mode"]]
+    kind = UPDATE_KIND_BY_MODE[event["Mode"]]
     if kind is api.EndpointUpdateKind.UNAVAILABLE:
         return api.EndpointsChanged(kind, [])
     return api.EndpointsChanged(kind, endpoint_lists[event["Slot"]])
@@ -193,7 +199,7 @@
         request_id=event["Req"],
         attempt=event["Shot"],
         node=event["Shelf"],
-        outcome=OUTCOMES[event["Disposition"]],
+        outcome=OUTCOME_BY_DISPOSITION[event["Disposition"]],
         elapsed_s=event["SpentS"],
         request_settled=bool(event.get("Settled")),
         units_elsewhere=float(event.get("OthersGot") or 0.0),
--- a/tests/simulator_adapter/test_simulator_adapter.py
+++ b/tests/simulator_adapter/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The simulator adapter: framing, bad input, faults, and the lives of instances."""
+"""The simulator adapter: framing, invalid input, faults of a policy, start and stop of instances."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
     "PolicyLimits": {"Cancel": True, "ParallelTries": False, "SendCap": 3},
     "Safety": {"ColdFrom": 0.2, "RampTimeS": 9.0, "TipAfterS": 1.0, "TipMultiple": 2.0},
     "Siblings": 2,
-    "Unheard": {"of": 1},
+    "UnknownKey": {"inner": 1},
 }
 ENDPOINT = {"Pack": 0, "UpSinceS": None, "Shelf": 11, "Area": 0, "StageState": "live", "Scale": 1}
 
@@ -86,13 +86,13 @@
 
 
 def get_steps(adapter: SimulatorAdapter, events: list[dict[str, Any]]) -> list[dict[str, Any]]:
-    """Return the adapter's steps on a batch, without the timers that a policy sets."""
-    reply = adapter.reply(make_batch(1, events))
+    """Return the actions that the adapter replies with to a batch, without those that set timers."""
+    reply = adapter.process_batch(make_batch(1, events))
     return [step for step in reply["steps"] if step["type"] != "TIMER"]
 
 
 class SimulatorAdapterTest(unittest.TestCase):
-    """Batches in, answers out, for one instance or many."""
+    """Replies to batches, for one instance or several."""
 
     def setUp(self) -> None:
         self.adapter = SimulatorAdapter()
@@ -102,14 +102,14 @@
 
         assert steps == [{"type": "ROUTE", "Head": 0, "Req": "a", "Shelf": 11}]
 
-    def test_a_batch_of_megabytes_is_answered(self) -> None:
+    def test_a_batch_of_several_megabytes_is_processed(self) -> None:
         requests = [make_request_event(f"r{number}") for number in range(8000)]
 
         steps = get_steps(self.adapter, [*make_start_events(), *requests])
 
         assert 1 <= len(steps) <= 8
 
-    def test_a_stopped_instance_acts_no_more_and_a_new_one_starts_with_nothing(self) -> None:
+    def test_a_stopped_instance_takes_no_action_and_a_restarted_one_has_no_state(self) -> None:
         get_steps(self.adapter, [*make_start_events(), make_request_event("a")])
         shutdown = {"type": "SHUTDOWN", "Head": 0}
 
@@ -137,7 +137,7 @@
             {"type": "ROUTE", "Head": 1, "Req": "b", "Shelf": 11},
         ]
 
-    def test_a_fault_of_the_policy_is_reported_with_its_text(self) -> None:
+    def test_a_fault_of_the_policy_is_reported_with_its_message(self) -> None:
         with mock.patch.object(Policy, "step", side_effect=RuntimeError("out of slots")):
             steps = get_steps(self.adapter, make_start_events())
 
@@ -145,14 +145,14 @@
 
 
 class ServeTest(unittest.TestCase):
-    """The stream of batches."""
+    """The streams of batches and replies."""
 
-    def test_empty_batches_are_answered_until_the_end_of_input(self) -> None:
-        sink = io.StringIO()
+    def test_empty_batches_get_replies_until_the_end_of_input(self) -> None:
+        output = io.StringIO()
 
-        simulator_adapter.serve(io.StringIO(make_batch(1, []) + "\n" + make_batch(2, []) + "\n"), sink)
+        simulator_adapter.serve(io.StringIO(make_batch(1, []) + "\n" + make_batch(2, []) + "\n"), output)
 
-        assert [json.loads(line) for line in sink.getvalue().splitlines()] == [
+        assert [json.loads(line) for line in output.getvalue().splitlines()] == [
             {"round": 1, "steps": []},
             {"round": 2, "steps": []},
         ]
@@ -161,14 +161,14 @@
 @pytest.mark.parametrize(
     "line",
     [
-        "tea",
+        "not json",
         "[]",
         '{"TsS":1}',
-        '{"TsS":1,"round":1,"news":[{"type":"TEA","Head":0}]}',
+        '{"TsS":1,"round":1,"news":[{"type":"UNKNOWN","Head":0}]}',
         '{"TsS":1,"round":1,',
     ],
 )
-def test_malformed_line_ends_with_one_plain_message(line: str) -> None:
+def test_malformed_line_ends_the_process_with_a_one_line_message(line: str) -> None:
     command = [sys.executable, "-B", "-m", "storage_gateway.simulator_adapter"]
 
     result = subprocess.run(command, cwd=ROOT, input=line + "\n", capture_output=True, text=True)
