--- a/storage_gateway/aiohttp_middleware.py
+++ b/storage_gateway/aiohttp_middleware.py
@@ -1,7 +1,8 @@
-"""Middleware for aiohttp.web: handlers run when and where the policy decides, by the daemon's rules.
+"""Middleware for aiohttp.web that lets the policy decide when, and for which storage node, a handler runs.
 
-The handler finds the id of its storage node in ``request[NODE]``. It may run again for the same request, but
-only where no run had an effect or the request's class allows a repeat.
+The handler finds the id of the node in ``request[NODE]``. As in the gateway itself, the policy may retry a
+request: the handler then runs again, but only if no earlier run had an effect or the request's class allows a
+repeated execution.
 """
 
 from __future__ import annotations
@@ -19,40 +20,45 @@
 NODE = web.RequestKey("node", int)
 MIN_SERVER_ERROR_STATUS = 500
 
-Describe = Callable[[web.Request], Awaitable[api.RequestArrived | None]]
-"""Returns how the policy is to see a request, or None for one that is not scheduled."""
+RequestDescriber = Callable[[web.Request], Awaitable[api.RequestArrived | None]]
+"""Returns the event that reports a request to the policy, or None for a request that is not scheduled."""
 
 
-def scheduled(executor: RequestExecutor, describe: Describe) -> Middleware:
+def scheduled(executor: RequestExecutor, describe_request: RequestDescriber) -> Middleware:
     """Return a middleware that schedules the requests of an application.
 
     Args:
-        executor: carries out the requests.
-        describe: describes each request to the policy.
+        executor: runs the policy and its attempts.
+        describe_request: returns the event that reports a request to the policy. If it returns None, the
+            handler runs at once, without a node.
     """
 
     @web.middleware
     async def middleware(request: web.Request, handler: Handler) -> web.StreamResponse:
-        arrival = await describe(request)
+        arrival = await describe_request(request)
         if arrival is None:
             return await handler(request)
-        runs = _HandlerRuns(request, handler)
-        match await executor.execute(arrival, runs.attempt):
+        handler_runner = _HandlerRunner(request, handler)
+        match await executor.execute(arrival, handler_runner.attempt):
             case Served(response) if response is not None:
                 return _respond(response)
             case Rejected(retry_after_s):
                 headers = {"Retry-After": f"{retry_after_s:.3f}"} if retry_after_s > 0 else None
                 return web.Response(status=503, headers=headers)
-        if runs.last_response is None:
+        if handler_runner.last_response is None:
             return web.Response(status=502)
-        return _respond(runs.last_response)
+        return _respond(handler_runner.last_response)
 
     return middleware
 
 
 @dataclass(slots=True)
-class _HandlerRuns:
-    """The runs of a request's handler; each is one attempt."""
+class _HandlerRunner:
+    """Runs the handler of one request, once for each attempt.
+
+    Attributes:
+        last_response: the handler's most recent response; None if no run has produced one.
+    """
 
     request: web.Request
     handler: Handler
@@ -61,8 +67,8 @@
     async def attempt(self, node: int) -> AttemptResult[web.StreamResponse]:
         """Run the handler for this node.
 
-        A response that has begun to reach the client counts as served whatever its status: it cannot be made
-        anew.
+        A response whose transmission to the client has begun counts as served whatever its status, as it
+        cannot be replaced any more.
         """
         self.request[NODE] = node
         try:
@@ -78,7 +84,7 @@
 
 
 def _respond(response: web.StreamResponse) -> web.StreamResponse:
-    """Return the response, or raise it where it is an exception, as aiohttp wants it."""
+    """Return the response, or raise it if it is an exception, as aiohttp requires of a middleware."""
     if isinstance(response, web.HTTPException):
         raise response
     return response
--- a/storage_gateway/errors.py
+++ b/storage_gateway/errors.py
@@ -1,52 +1,52 @@
-"""The errors of the gateway: one small tree under ``GatewayError``, each with typed fields.
+"""The exceptions of the gateway, all derived from ``GatewayError``.
 
-An error says what went wrong, and where there is one, with which key, field or peer. Errors of the standard
-library are raised from, never hidden.
+An error message says what went wrong and, where it applies, with which key, field or peer. An exception of
+the standard library that is translated into one of these is kept as its cause.
 """
 
 from __future__ import annotations
 
 
 class GatewayError(Exception):
-    """Base of every error that this package raises on purpose."""
+    """Base class of the exceptions that this package defines."""
 
 
 class ConfigurationError(GatewayError, ValueError):
-    """A configuration value that cannot be used.
+    """A missing or invalid value in the configuration.
 
     Attributes:
-        key: the full path of the faulty key, such as ``settings.Lanes[0].AimS``.
-        reason: what is wrong with it, in plain words.
+        key: full path of the faulty key, such as ``settings.Lanes[0].AimS``.
+        reason: what is wrong with its value, and what was expected.
     """
 
     def __init__(self, key: str, reason: str) -> None:
-        """Keep the key and the reason; the text is both, the key first."""
+        """Store the key and the reason; the message is ``KEY: REASON``."""
         super().__init__(f"{key}: {reason}")
         self.key = key
         self.reason = reason
 
 
 class ProtocolError(GatewayError, ValueError):
-    """A message of a peer that cannot be accepted.
+    """An invalid message from a client or from the discovery service.
 
     Attributes:
-        field: the faulty header, field or part of the message.
-        reason: what is wrong with it, in plain words.
+        field: name of the faulty header, field or part of the message.
+        reason: what is wrong with it, and what was expected.
     """
 
     def __init__(self, field: str, reason: str) -> None:
-        """Keep the field and the reason; the text is both, the field first."""
+        """Store the field and the reason; the message is ``FIELD: REASON``."""
         super().__init__(f"{field}: {reason}")
         self.field = field
         self.reason = reason
 
 
 class InvalidResponseError(GatewayError):
-    """What came from a node is no response, or not the whole of one; its request may have been executed."""
+    """A node sent an invalid or incomplete response; its request may have been executed."""
 
 
 class NotExecutedError(GatewayError):
-    """Raised by a handler that is certain to have had no effect, such as one whose node rejected it."""
+    """Raised by a handler that certainly had no effect, for example because its node rejected the request."""
 
 
 class NotSentError(GatewayError):
@@ -54,25 +54,25 @@
 
 
 class EndpointNotServingError(GatewayError):
-    """The endpoint began to drain, or was removed, before the request was written."""
+    """The endpoint started to drain, or was removed, before the request was written."""
 
 
 class WireFormatError(GatewayError):
-    """A line of the simulator's wire that is not a batch of events."""
+    """A line from the simulator that is not a valid batch of events."""
 
 
 class PacketError(GatewayError, ValueError):
-    """Bytes that are no SFTP packet, or not the expected one.
+    """An invalid or unexpected SFTP packet.
 
     Attributes:
-        request_id: the id of the packet's request, None where it could not be read.
+        request_id: the request id in the packet; None if it could not be read.
     """
 
     def __init__(self, reason: str, request_id: int | None = None) -> None:
-        """Keep the id, so that the session can answer with it."""
+        """Store the request id, which the session's reply has to carry."""
         super().__init__(reason)
         self.request_id = request_id
 
 
 class AdvertisementError(GatewayError, ValueError):
-    """A datagram that is no VRRP advertisement for this virtual router."""
+    """A datagram that is not a valid VRRP advertisement for this virtual router."""
--- a/storage_gateway/logging.py
+++ b/storage_gateway/logging.py
@@ -1,4 +1,4 @@
-"""The structured log on standard error, and the periodic line that reports the state of the process."""
+"""Structured logging to standard error, and the status line that reports the state of the process."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 STATUS_INTERVAL_S = 2.0
 
 StatusSource = Callable[[], Mapping[str, object]]
-"""Returns the fields that one part of the gateway adds to a status line."""
+"""Returns the fields that one component of the gateway adds to each status line."""
 
 log = structlog.get_logger()
 
 
 def configure_logging() -> None:
-    """Write each event as one line of ``key=value`` pairs to standard error, from level INFO up."""
+    """Write each event of level INFO or above to standard error, as one line of ``key=value`` pairs."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -34,11 +34,12 @@
 
 
 class StatusLog:
-    """Logs a line every ``STATUS_INTERVAL_S``: figures of the whole process, none of a single request.
+    """Logs a status line every ``STATUS_INTERVAL_S`` seconds: figures of the process, never of one request.
 
     Args:
-        loop: the event loop whose delay is measured.
-        sources: the parts that add fields to a line, in this order; a part may be added at any time.
+        loop: the event loop of the process, whose delay each line reports as ``lag_ms``.
+        sources: the components that add fields to a line, in this order. The sequence is read for each line,
+            so that its owner may add a component at any time.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, sources: Sequence[StatusSource]) -> None:
@@ -46,7 +47,7 @@
         self._sources = sources
 
     def start(self) -> None:
-        """Log the first line one interval from now, and go on until the loop ends."""
+        """Log the first line after one interval, and further lines until the event loop stops."""
         self._schedule(self._loop.time() + STATUS_INTERVAL_S)
 
     def _schedule(self, due_at: float) -> None:
@@ -58,7 +59,7 @@
             "cpu_s": round(time.process_time(), 2),
             "lag_ms": round(1000 * loop_delay_s, 1),
         }
-        for read_fields in self._sources:
-            fields.update(read_fields())
+        for status_fields in self._sources:
+            fields.update(status_fields())
         log.info("status_reported", **fields)
         self._schedule(max(self._loop.time(), due_at + STATUS_INTERVAL_S))
--- a/storage_gateway/program.py
+++ b/storage_gateway/program.py
@@ -1,4 +1,4 @@
-"""The frame of a command-line program: a fault of its input ends it with one line on standard error."""
+"""Entry point of a command-line program: invalid input ends it with one line on standard error."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
     """Run a program to its end and return its exit status.
 
     Args:
-        name: the program's name, which begins the line.
-        run: the program; what else it raises is not caught.
-        input_error: the error of an input that cannot be used, such as the configuration; its text names
-            the fault.
+        name: the program's name, which precedes the error message.
+        run: the program; exceptions other than ``input_error`` are not caught.
+        input_error: the exception that reports invalid input, such as a faulty configuration. Its message is
+            printed, and the exit status is ``EXIT_BAD_INPUT``.
     """
     try:
         run()
--- a/tests/aiohttp_middleware/test_aiohttp_middleware.py
+++ b/tests/aiohttp_middleware/test_aiohttp_middleware.py
@@ -1,4 +1,4 @@
-"""The middleware in an aiohttp.web application, with handlers in the place of storage nodes."""
+"""The middleware in an aiohttp.web application, whose handlers stand in for storage nodes."""
 
 from __future__ import annotations
 
@@ -25,7 +25,8 @@
     """A handler that returns the next status of its script, or raises the next exception.
 
     Attributes:
-        nodes: the node of each run.
+        script: results of the runs to come, in order.
+        nodes: the node of each run; None for a run without one.
     """
 
     script: list[int | Exception]
@@ -50,11 +51,11 @@
 async def send_request(
     method: str, path: str, script: list[int | Exception], has_node: bool = True
 ) -> tuple[int, list[int | None]]:
-    """Return the status of the response, and the node of each run of the handler."""
+    """Return the status of the response and, for each run of the handler, its node."""
     executor = make_executor(has_node)
     handler = ScriptedHandler(script)
 
-    async def describe(request: web.Request) -> api.RequestArrived | None:
+    async def describe_request(request: web.Request) -> api.RequestArrived | None:
         if request.path == UNSCHEDULED_PATH:
             return None
         return api.RequestArrived(
@@ -69,7 +70,7 @@
             gateway_count=1,
         )
 
-    app = web.Application(middlewares=[scheduled(executor, describe)])
+    app = web.Application(middlewares=[scheduled(executor, describe_request)])
     app.router.add_route("*", "/{path:.*}", handler.__call__)
     async with TestClient(TestServer(app)) as client:
         response = await client.request(method, path)
@@ -77,7 +78,7 @@
 
 
 class ScheduledTest(unittest.IsolatedAsyncioTestCase):
-    """Which runs of a handler the policy allows, and what the client gets."""
+    """When the policy lets a handler run, and which status the client receives."""
 
     async def test_a_handler_runs_for_the_node_that_the_policy_names(self) -> None:
         assert await send_request("GET", "/tile", [200]) == (200, [1])
@@ -86,9 +87,9 @@
     async def test_a_write_runs_again_only_if_it_was_not_executed(self) -> None:
         assert await send_request("PUT", "/tile", [NotExecutedError(), 201]) == (201, [1, 1])
         assert await send_request("PUT", "/tile", [500, 201]) == (500, [1])
-        assert await send_request("PUT", "/tile", [RuntimeError("half done"), 201]) == (502, [1])
+        assert await send_request("PUT", "/tile", [RuntimeError("half written"), 201]) == (502, [1])
 
-    async def test_an_http_exception_is_the_handler_s_response(self) -> None:
+    async def test_an_http_exception_counts_as_the_response(self) -> None:
         assert await send_request("GET", "/tile", [web.HTTPNotFound()]) == (404, [1])
 
     async def test_without_a_node_a_request_is_rejected(self) -> None:
--- a/tests/service/test_logging.py
+++ b/tests/service/test_logging.py
@@ -1,4 +1,4 @@
-"""The periodic line in the log: what the process did and why, with no line of a single request."""
+"""The status line of the log, which reports on the whole process and never on a single request."""
 
 import asyncio
 import unittest
@@ -11,9 +11,9 @@
 
 
 class StatusLogTest(unittest.IsolatedAsyncioTestCase):
-    """The line is repeated and holds the fields of every part."""
+    """The line is repeated and contains the fields of all components."""
 
-    async def test_a_line_every_interval_with_the_fields_of_all_parts(self) -> None:
+    async def test_each_interval_logs_a_line_with_the_fields_of_all_components(self) -> None:
         lines: list[dict[str, Any]] = []
         two_lines_logged = asyncio.Event()
 
