--- a/storage_gateway/lifecycle.py
+++ b/storage_gateway/lifecycle.py
@@ -1,8 +1,8 @@
-"""The life of a request: one policy, its clock and timer, and the attempts that it decides on.
+"""Request execution: runs the policy, its clock and timer, and the attempts that the policy decides on.
 
-A server brings an ``api.RequestArrived`` and a function that makes one attempt at a storage node;
-``RequestExecutor.execute`` lets the policy say where and when to send it, and returns how the request ended.
-No wire protocol is known here.
+A server passes an ``api.RequestArrived`` and a function that makes one attempt at a storage node to
+``RequestExecutor.execute``. The policy decides when and to which node each attempt is sent; ``execute``
+returns how the request ended. This module is independent of the wire protocols.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 __all__ = [
     "ATTEMPT_MARGIN_S",
-    "Attempt",
+    "AttemptFunction",
     "AttemptResult",
     "Failed",
     "Rejected",
@@ -31,7 +31,7 @@
     "Served",
 ]
 
-MIN_DECISION_TIME_S = 0.005  # what the policy has for its decision, however little time the client gives
+MIN_DECISION_TIME_S = 0.005  # least time for the policy to decide, however short the client's deadline is
 
 T = TypeVar("T")
 log = structlog.get_logger()
@@ -42,9 +42,10 @@
     """How an attempt ended.
 
     Attributes:
-        outcome: what came of the attempt.
-        value: the node's response, where there is one.
-        units_elsewhere: units of the request's volume that the node served through other gateway instances.
+        outcome: whether the node served the request and, if not, whether it may have executed it.
+        value: the node's response; None if there is none.
+        units_elsewhere: units of the request's volume that the node served through other gateway instances;
+            0 if it does not report them.
     """
 
     outcome: api.AttemptOutcome
@@ -52,37 +53,41 @@
     units_elsewhere: float = 0.0
 
 
-Attempt = Callable[[int], Awaitable[AttemptResult[T]]]
-"""Makes one attempt at the node with this id."""
+AttemptFunction = Callable[[int], Awaitable[AttemptResult[T]]]
+"""Makes one attempt at the node with the given id."""
 
 
 @dataclass(slots=True)
 class Served(Generic[T]):
-    """The request was served, with this response."""
+    """The request was served; ``value`` is the node's response."""
 
     value: T | None
 
 
 @dataclass(slots=True)
 class Rejected:
-    """The request was not executed; a retry is harmless, best after ``retry_after_s`` seconds."""
+    """The request was not executed; a retry is safe, best after ``retry_after_s`` seconds (0: no hint)."""
 
     retry_after_s: float
 
 
 @dataclass(slots=True)
 class Failed:
-    """The request failed, with no promise about its effect."""
+    """The request failed; a node may or may not have executed it."""
 
 
 class RequestExecutor:
-    """Owner of the one policy and of its timer. All events of one turn of the loop go into one step.
+    """Runs the policy and its timer, and executes requests as the policy decides.
+
+    All events posted in one iteration of the event loop reach the policy in one step.
 
     Attributes:
-        clock_offset_s: Unix time less the loop's time, read once: the clock goes on evenly where the
-            system's jumps.
-        pending: requests that are owed their response, by id.
-        status_sources: the parts that add fields to the status log.
+        loop: the event loop that runs the policy and all attempts.
+        clock_offset_s: Unix time minus the loop's time in seconds; read once, so that adjustments of the
+            system clock do not affect ``now``.
+        policy: the policy, which holds all scheduling state of this gateway instance.
+        pending: the requests that have not had their response yet, by request id.
+        status_sources: functions whose fields are added to each status line, in this order.
     """
 
     def __init__(self, settings: api.Settings) -> None:
@@ -94,51 +99,51 @@
         self._events: list[api.Event] = []
         self._policy_timer: asyncio.TimerHandle | None = None
         self._last_request_number = 0
-        self._response_deadline = math.inf  # a process that is to end responds to nothing later
+        self._response_deadline = math.inf  # Unix time; finite once shutdown begins
 
     def start_status_log(self) -> None:
-        """Report the state of the process in the log from now on, every few seconds."""
+        """Log a status line every few seconds from now on."""
         StatusLog(self.loop, self.status_sources).start()
 
     def status_fields(self) -> dict[str, object]:
-        """Return the number of requests that wait for their response, for the status log."""
+        """Return the number of pending requests, for the status line."""
         return {"pending": len(self.pending)}
 
     def now(self) -> float:
-        """Return Unix time in seconds, by the monotonic clock."""
+        """Return Unix time in seconds, advanced by the monotonic clock."""
         return self.loop.time() + self.clock_offset_s
 
     def new_request_id(self) -> str:
-        """Return an id of the executor's own: a client that repeats one of its ids mixes nothing up."""
+        """Return an id that is unique in this process, as clients may repeat theirs."""
         self._last_request_number += 1
         return str(self._last_request_number)
 
     def begin_shutdown(self, response_time_s: float) -> None:
-        """Give each request that is pending, or arrives from now on, its response within this time."""
+        """Ensure that each pending or later request has its response within ``response_time_s`` seconds."""
         self._response_deadline = self.now() + response_time_s
         for pending in self.pending.values():
             pending.shorten_deadline(self._response_deadline, self.clock_offset_s)
 
     def attempt_time_left(self, request_id: str) -> float:
-        """Return the seconds for an attempt that has not begun; 0.0 where it must not begin any more."""
+        """Return the seconds left for an attempt not yet sent; 0 or less if it must not be sent any more."""
         pending = self.pending.get(request_id)
         if pending is None or self.now() > pending.first_byte_deadline:
             return 0.0
         return pending.deadline - ATTEMPT_MARGIN_S - self.now()
 
     def post(self, event: api.Event) -> None:
-        """Hand an event to the policy, in the next turn of the loop."""
+        """Queue an event for the policy's step in the next iteration of the event loop."""
         if not self._events:
             self.loop.call_soon(self.step)
         self._events.append(event)
 
     def step(self) -> None:
-        """Let the policy decide on all events posted since the last step, and carry out its actions."""
+        """Pass all events posted since the last step to the policy, and carry out its actions."""
         events = self._events
         self._events = []
         try:
             actions = self.policy.step(self.now(), events)
-        except Exception:  # guards the other requests: each is still answered at its own deadline
+        except Exception:  # protects the pending requests: each still gets a response by its own deadline
             log.exception("policy_failed", events=len(events))
             return
         for action in actions:
@@ -152,22 +157,22 @@
                 case api.SetTimer(delay_s, timer_id):
                     self._set_policy_timer(delay_s, timer_id)
                 case api.WatchEndpoints():
-                    pass  # the endpoints are watched from the start
+                    pass  # the discovery client watches them from the start
 
     async def execute(
-        self, request: api.RequestArrived, attempt: Attempt[T]
+        self, request: api.RequestArrived, make_attempt: AttemptFunction[T]
     ) -> Served[T] | Rejected | Failed:
-        """Carry a request from its arrival to its one response.
+        """Execute a request and return its one result.
 
-        A task that is cancelled in here stands for a client that has gone: no response is owed.
+        Cancelling the calling task means that the client has disconnected and needs no response.
         """
         request.deadline = min(request.deadline, self._response_deadline)
         pending = PendingRequest(request.deadline)
         self.pending[request.request_id] = pending
         self.post(request)
         try:
-            # A client that waits for less than the margin still gets the policy's decision, as that comes
-            # at once.
+            # A deadline shorter than the margin still leaves time for the policy's decision, which takes one
+            # iteration of the event loop.
             response_due = max(
                 request.deadline - RESPONSE_MARGIN_S - self.clock_offset_s,
                 self.loop.time() + MIN_DECISION_TIME_S,
@@ -177,7 +182,7 @@
                     match await pending.actions.get():
                         case api.SendAttempt(_, node, first_byte_deadline):
                             pending.first_byte_deadline = first_byte_deadline
-                            result = await self._make_attempt(request, pending, node, attempt)
+                            result = await self._run_attempt(request, pending, node, make_attempt)
                             if result.outcome is api.AttemptOutcome.SERVED:
                                 return Served(result.value)
                         case api.RejectRequest(_, retry_after_s):
@@ -193,47 +198,51 @@
             del self.pending[request.request_id]
             while not pending.actions.empty():
                 action = pending.actions.get_nowait()
-                # Guards the policy's count of slots: a decision to send that came too late for the request
-                # is an attempt to the policy, and takes a slot until it is said to have ended.
+                # The policy counts a SendAttempt that came too late as an attempt in flight: its slot stays
+                # occupied until the attempt is reported as ended.
                 if isinstance(action, api.SendAttempt):
                     self.post(_unsent_attempt_ended(request.request_id, pending.attempt_count, action.node))
 
-    async def _make_attempt(
-        self, request: api.RequestArrived, pending: PendingRequest, node: int, attempt: Attempt[T]
+    async def _run_attempt(
+        self,
+        request: api.RequestArrived,
+        pending: PendingRequest,
+        node: int,
+        make_attempt: AttemptFunction[T],
     ) -> AttemptResult[T]:
-        """Make one attempt, until it ends, its timer fires, or the policy cancels it by the same timer.
+        """Run one attempt until it ends, its timer expires, or the policy cancels it through that timer.
 
-        Its end is posted once its connection is free or closed, so that a request never has two attempts in
-        flight.
+        The end is posted only once the attempt's connection is free or closed, so that a request never has
+        two attempts in flight.
         """
-        number = pending.attempt_count
+        attempt_number = pending.attempt_count
         pending.attempt_count += 1
         sent_at = self.now()
         may_have_executed_before = pending.may_have_executed
         pending.may_have_executed = True
         result = AttemptResult[T](api.AttemptOutcome.CANCELLED)
-        settled = True  # stands if this task is cancelled: the client has gone, and its request with it
+        settled = True  # still so if this task is cancelled: the client has disconnected
         try:
             attempt_due = pending.deadline - ATTEMPT_MARGIN_S - self.clock_offset_s
             async with asyncio.timeout_at(attempt_due) as pending.attempt_timer:
-                result = await attempt(node)
+                result = await make_attempt(node)
             settled = result.outcome is api.AttemptOutcome.SERVED
         except TimeoutError:
             settled = False
-            is_due = self.now() >= pending.deadline - ATTEMPT_MARGIN_S
-            outcome = api.AttemptOutcome.TIMEOUT if is_due else api.AttemptOutcome.CANCELLED
+            is_overdue = self.now() >= pending.deadline - ATTEMPT_MARGIN_S
+            outcome = api.AttemptOutcome.TIMEOUT if is_overdue else api.AttemptOutcome.CANCELLED
             result = AttemptResult(outcome)
         except Exception:
             log.exception("attempt_failed", node=node)
             settled = False
-            result = AttemptResult(api.AttemptOutcome.CONNECTION_RESET)  # in doubt, it may have executed
+            result = AttemptResult(api.AttemptOutcome.CONNECTION_RESET)  # the node may have executed it
         finally:
             pending.attempt_timer = None
             pending.may_have_executed = may_have_executed_before or not result.outcome.proves_no_execution
             self.post(
                 api.AttemptEnded(
                     request_id=request.request_id,
-                    attempt=number,
+                    attempt=attempt_number,
                     node=node,
                     outcome=result.outcome,
                     elapsed_s=self.now() - sent_at,
@@ -246,7 +255,7 @@
     def _respond_without_policy(
         self, request: api.RequestArrived, pending: PendingRequest
     ) -> Rejected | Failed:
-        """Respond in time although the policy does not decide, or the loop ran late."""
+        """Return a result in time if the policy did not decide, or the event loop was delayed."""
         log.warning("response_forced", request=request.request_id, attempts=pending.attempt_count)
         self.post(api.ClientCancelled(request.request_id))
         if pending.may_have_executed:
@@ -254,17 +263,17 @@
         return Rejected(self.policy.settings.max_retry_after_s)
 
     def _set_policy_timer(self, delay_s: float, timer_id: int) -> None:
-        """Set the policy's one timer; a new one replaces it."""
+        """Set the policy's only timer, in place of an earlier one."""
         if self._policy_timer:
             self._policy_timer.cancel()
         due = self.loop.time() + delay_s
         self._policy_timer = self.loop.call_at(due, self.post, api.TimerFired(timer_id))
 
 
-def _unsent_attempt_ended(request_id: str, number: int, node: int) -> api.AttemptEnded:
+def _unsent_attempt_ended(request_id: str, attempt_number: int, node: int) -> api.AttemptEnded:
     return api.AttemptEnded(
         request_id=request_id,
-        attempt=number,
+        attempt=attempt_number,
         node=node,
         outcome=api.AttemptOutcome.NOT_SENT,
         elapsed_s=0.0,
--- a/storage_gateway/pending_request.py
+++ b/storage_gateway/pending_request.py
@@ -1,4 +1,4 @@
-"""A request that waits for its response, and the timers that bound its response and its attempt."""
+"""A request without a response yet, and the timers that bound its response and its current attempt."""
 
 from __future__ import annotations
 
@@ -7,14 +7,24 @@
 
 from storage_gateway import policy_api as api
 
-ATTEMPT_MARGIN_S = 0.04  # an attempt ends this long before the client's deadline, so that the answer beats it
-RESPONSE_MARGIN_S = 0.015  # without a decision of the policy by then, the executor answers by itself
+ATTEMPT_MARGIN_S = 0.04  # attempts end this long before the deadline, so that the response is in time
+RESPONSE_MARGIN_S = 0.015  # without a decision this long before the deadline, the executor responds by itself
 
 
 class PendingRequest:
-    """A request that is owed its response: the policy's actions for it, and the timers that bound it.
+    """A request without a response yet: the policy's actions for it, and the timers that bound it.
 
     The executor owns it. Times are Unix seconds; timers are set on the loop's clock.
+
+    Attributes:
+        actions: the policy's actions that the executor has not carried out yet.
+        deadline: when the client stops waiting, or earlier during a shutdown.
+        response_timer: makes the executor respond without the policy; None before it is set.
+        attempt_timer: ends the attempt in flight; None while there is none.
+        attempt_count: number of attempts begun, which is the number of the next one.
+        first_byte_deadline: latest time at which the first byte of the current attempt may be sent; infinite
+            for no limit.
+        may_have_executed: whether a node may have executed the request.
     """
 
     __slots__ = (
@@ -37,24 +47,24 @@
         self.may_have_executed = False
 
     def shorten_deadline(self, deadline: float, clock_offset_s: float) -> None:
-        """Bring the deadline forward, and with it the timers that are still running."""
+        """Bring the deadline forward, and with it the timers that have not expired; never postpone it."""
         self.deadline = min(self.deadline, deadline)
         response_due = self.deadline - RESPONSE_MARGIN_S - clock_offset_s
         attempt_due = self.deadline - ATTEMPT_MARGIN_S - clock_offset_s
         _bring_forward(self.response_timer, response_due)
         _bring_forward(self.attempt_timer, attempt_due)
 
-    def cancel_attempt(self, attempt: int, now: float) -> None:
-        """End this attempt by its own timer, unless it has ended or the timer has fired.
+    def cancel_attempt(self, attempt_number: int, now: float) -> None:
+        """End this attempt through its timer, unless it has ended or the timer has expired.
 
         Args:
-            attempt: the number of the attempt, counted from 0.
-            now: the loop's time.
+            attempt_number: the number of the attempt, counted from 0.
+            now: the loop's time in seconds.
         """
-        is_current = attempt == self.attempt_count - 1
+        is_current = attempt_number == self.attempt_count - 1
         timer = self.attempt_timer
-        # A timer that has fired in this very turn of the loop is not rescheduled: that would raise, and the
-        # actions behind this one, of other requests, would be lost.
+        # Rescheduling a timer that expired in this iteration of the event loop would raise, and the remaining
+        # actions of the policy's step, for other requests, would be lost.
         if is_current and timer and not timer.expired():
             timer.reschedule(now)
 
--- a/tests/lifecycle/__init__.py
+++ b/tests/lifecycle/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the life of a request."""
+"""Tests of request execution."""
--- a/tests/lifecycle/test_lifecycle.py
+++ b/tests/lifecycle/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""The executor's own responses, where the policy gives none."""
+"""The executor's results, with and without a decision of the policy."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 def send_to_first_node(now: float, events: list[api.Event]) -> list[api.Action]:
-    """A step of a policy that makes one attempt of each request, and decides no more about it."""
+    """Policy step that sends each request to one node and decides nothing more about it."""
     arrivals = [event for event in events if isinstance(event, api.RequestArrived)]
     return [api.SendAttempt(arrival.request_id, 1) for arrival in arrivals]
 
 
 class RequestExecutorTest(unittest.IsolatedAsyncioTestCase):
-    """Requests of an executor whose policy does as each test says."""
+    """An executor whose policy step is replaced by each test."""
 
     async def asyncSetUp(self) -> None:
         self.executor = RequestExecutor(make_two_class_settings(max_retry_after_s=MAX_RETRY_AFTER_S))
@@ -40,31 +40,31 @@
         )
 
     async def execute(self, *, serve: bool) -> Served[str] | Rejected | Failed:
-        """Execute one request at a node that serves it, or never responds."""
+        """Execute one request on a node that serves it or never responds."""
 
-        async def attempt(node: int) -> AttemptResult[str]:
+        async def make_attempt(node: int) -> AttemptResult[str]:
             if not serve:
                 await asyncio.Event().wait()
-            return AttemptResult(api.AttemptOutcome.SERVED, "tile")
+            return AttemptResult(api.AttemptOutcome.SERVED, "body")
 
         async with asyncio.timeout(5):
-            return await self.executor.execute(self.make_request(), attempt)
+            return await self.executor.execute(self.make_request(), make_attempt)
 
-    async def test_a_fault_of_the_policy_leaves_requests_their_response_in_time(self) -> None:
-        with mock.patch.object(self.executor.policy, "step", side_effect=RuntimeError("a fault")):
+    async def test_policy_exception_leaves_requests_rejected_in_time(self) -> None:
+        with mock.patch.object(self.executor.policy, "step", side_effect=RuntimeError("policy error")):
             result = await self.execute(serve=True)
 
         assert result == Rejected(MAX_RETRY_AFTER_S)
         assert self.executor.pending == {}
 
-    async def test_a_request_that_may_have_been_executed_fails_where_the_policy_does_not_decide(self) -> None:
+    async def test_request_that_may_have_been_executed_fails_without_a_policy_decision(self) -> None:
         with mock.patch.object(self.executor.policy, "step", send_to_first_node):
             result = await self.execute(serve=False)
 
         assert result == Failed()
 
-    async def test_a_served_attempt_is_the_response(self) -> None:
+    async def test_served_attempt_gives_the_response(self) -> None:
         with mock.patch.object(self.executor.policy, "step", send_to_first_node):
             result = await self.execute(serve=True)
 
-        assert result == Served("tile")
+        assert result == Served("body")
--- a/tests/lifecycle/test_pending_request.py
+++ b/tests/lifecycle/test_pending_request.py
@@ -1,4 +1,4 @@
-"""The timers of a pending request: brought forward at a shutdown, ended by the policy, left once expired."""
+"""The timers of a pending request: brought forward at a shutdown, and used to cancel its attempt."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def make_timer(due: float) -> mock.Mock:
-    """Return a timer of asyncio that only records what is asked of it."""
+    """Return an asyncio timer that only records the calls to it."""
     timer = mock.Mock(spec=asyncio.Timeout)
     timer.when.return_value = due
     timer.expired.return_value = False
@@ -32,21 +32,21 @@
         self.pending.attempt_timer = cast(asyncio.Timeout, self.attempt_timer)
         self.pending.attempt_count = 1
 
-    def test_an_earlier_deadline_brings_both_timers_forward(self) -> None:
+    def test_earlier_deadline_brings_both_timers_forward(self) -> None:
         self.pending.shorten_deadline(1050.0, CLOCK_OFFSET_S)
 
         assert self.pending.deadline == 1050.0
         self.response_timer.reschedule.assert_called_once_with(1050.0 - RESPONSE_MARGIN_S - CLOCK_OFFSET_S)
         self.attempt_timer.reschedule.assert_called_once_with(1050.0 - ATTEMPT_MARGIN_S - CLOCK_OFFSET_S)
 
-    def test_a_later_deadline_changes_nothing(self) -> None:
+    def test_later_deadline_changes_nothing(self) -> None:
         self.pending.shorten_deadline(1070.0, CLOCK_OFFSET_S)
 
         assert self.pending.deadline == DEADLINE
         self.response_timer.reschedule.assert_not_called()
         self.attempt_timer.reschedule.assert_not_called()
 
-    def test_a_timer_that_has_expired_is_left_alone(self) -> None:
+    def test_expired_timer_is_not_rescheduled(self) -> None:
         self.attempt_timer.expired.return_value = True
 
         self.pending.shorten_deadline(1050.0, CLOCK_OFFSET_S)
@@ -55,13 +55,13 @@
         self.attempt_timer.reschedule.assert_not_called()
         self.response_timer.reschedule.assert_called_once()
 
-    def test_a_cancelled_attempt_ends_at_once_by_its_own_timer(self) -> None:
+    def test_cancelled_attempt_ends_at_once_by_its_timer(self) -> None:
         self.pending.cancel_attempt(0, now=10.0)
 
         self.attempt_timer.reschedule.assert_called_once_with(10.0)
         self.response_timer.reschedule.assert_not_called()
 
-    def test_the_cancellation_of_an_earlier_attempt_does_not_end_the_current_one(self) -> None:
+    def test_cancelling_an_earlier_attempt_does_not_end_the_current_one(self) -> None:
         self.pending.attempt_count = 2
 
         self.pending.cancel_attempt(0, now=10.0)
