--- a/storage_gateway/endpoints/backoff.py
+++ b/storage_gateway/endpoints/backoff.py
@@ -1,35 +1,35 @@
 """Reconnect backoff with full jitter for calls to discovery.
 
-What ends the watch of one gateway instance ends those of all. A fleet that comes back at once, or as fast as
-it is rejected, keeps the discovery service at work on calls that nobody waits for any more. So each instance
-waits for a time drawn uniformly from 0 to a bound, which grows with the number of instances and doubles with
-each failure in a row ("full jitter").
-
-The bounds leave room for a change to reach the policy within ``PROPAGATION_BOUND_S``, where discovery can be
-reached: a watch that went dead is noticed after its idle timeout, then follow a first delay and one call; a
-call that fails is followed by a delay and the next call.
+What ends the watch of one gateway instance ends the watches of all. If all instances reconnected at once, or
+as fast as they are rejected, the discovery service would be kept busy with calls that have already timed out.
+So each instance waits for a time drawn uniformly from 0 to a bound, which grows with the number of instances
+and doubles with each consecutive failure ("full jitter").
+
+The bounds let a change reach the policy within ``PROPAGATION_BOUND_S`` as long as discovery is reachable. A
+dead watch is noticed after its idle timeout, and a first delay and one call follow. A failed call is followed
+by a delay and the next call.
 """
 
 from __future__ import annotations
 
 import random
 
-PROPAGATION_BOUND_S = 6.0  # from a change in discovery, which can be reached, to the policy
-MIN_BACKOFF_S = 0.1  # the smallest upper bound of a delay
-BACKOFF_PER_GATEWAY_S = 0.15  # for each other instance of a shared service: about what a list takes
-MAX_FIRST_BACKOFF_S = 1.25  # after a watch that worked: idle timeout, delay and call fit into the bound
-MAX_BACKOFF_S = 2.75  # after failures, however many: failed call, delay and next call fit into the bound
-MAX_LOCAL_BACKOFF_S = 0.4  # where discovery is an agent of this instance, which no other one calls
-MAX_MOVE_BACKOFF_S = 0.9  # while discovery moves to another address, for which the bound is 4 s
-MAX_DOUBLINGS = 16  # by then each bound is reached; keeps the power of 2 finite
+PROPAGATION_BOUND_S = 6.0  # for a change to reach the policy, while discovery is reachable
+MIN_BACKOFF_S = 0.1  # smallest upper bound of a delay
+BACKOFF_PER_GATEWAY_S = 0.15  # for each other instance of a shared service: about the time of a list call
+MAX_FIRST_BACKOFF_S = 1.25  # after a working watch; idle timeout + delay + call < PROPAGATION_BOUND_S
+MAX_BACKOFF_S = 2.75  # after any number of failures; call + delay + call < PROPAGATION_BOUND_S
+MAX_LOCAL_BACKOFF_S = 0.4  # for a local agent, which no other instance calls
+MAX_MOVE_BACKOFF_S = 0.9  # while moving to another discovery address, which must not take more than 4 s
+MAX_DOUBLINGS = 16  # the limit is reached by then; prevents an overflow of the power of 2
 
 
 class ReconnectBackoff:
-    """Draws the delays of one gateway instance.
+    """Draws the reconnect delays of one gateway instance.
 
     Args:
         gateway_count: number of instances that call the same discovery service.
-        seed: seed of the instance's random numbers.
+        seed: seed of the random delays; it should differ between instances.
     """
 
     def __init__(self, gateway_count: int, seed: int) -> None:
@@ -37,15 +37,15 @@
         self._random = random.Random(seed)
 
     def delay_s(self, failures: int) -> float:
-        """Draw the seconds until the next call, after so many calls in a row that failed."""
+        """Draw the seconds until the next call, after this number of consecutive failed calls."""
         return self._random.random() * max_delay_s(failures, self._gateway_count)
 
 
 def max_delay_s(failures: int, gateway_count: int) -> float:
-    """Return the upper bound of a delay in seconds, after so many calls in a row that failed."""
-    first = max(MIN_BACKOFF_S, BACKOFF_PER_GATEWAY_S * (gateway_count - 1))
-    doubled = first * 2.0 ** min(failures, MAX_DOUBLINGS)
-    return min(_limit_s(failures, gateway_count), doubled)
+    """Return the upper bound of a delay in seconds, after this number of consecutive failed calls."""
+    first_bound_s = max(MIN_BACKOFF_S, BACKOFF_PER_GATEWAY_S * (gateway_count - 1))
+    doubled_bound_s = first_bound_s * 2.0 ** min(failures, MAX_DOUBLINGS)
+    return min(_limit_s(failures, gateway_count), doubled_bound_s)
 
 
 def _limit_s(failures: int, gateway_count: int) -> float:
--- a/storage_gateway/endpoints/codec.py
+++ b/storage_gateway/endpoints/codec.py
@@ -1,4 +1,4 @@
-"""Discovery's JSON form of endpoints, decoded into typed values."""
+"""Decoding of the endpoint lists that discovery sends as JSON."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from storage_gateway.endpoints.registry import Endpoint, EndpointUpdate
 from storage_gateway.errors import ConfigurationError, ProtocolError
 
-MAX_START_TIME_MS = 1e14  # the latest Unix time that a start may have
+MAX_START_TIME_MS = 1e14  # Unix time; a later start of a node is rejected
 STATE_BY_LIFECYCLE = {
     "SERVING": api.EndpointState.SERVING,
     "DRAINING": api.EndpointState.DRAINING,
@@ -19,10 +19,10 @@
 
 
 def decode_endpoint_update(text: str | bytes) -> EndpointUpdate:
-    """Decode a message of discovery.
+    """Decode a message from discovery.
 
     Raises:
-        ProtocolError: the text is no JSON, or not that of an update.
+        ProtocolError: if the text is not JSON, or not an endpoint update.
     """
     try:
         return read_endpoint_update(json.loads(text))
@@ -31,26 +31,26 @@
 
 
 def read_endpoint_update(value: Any) -> EndpointUpdate:
-    """Check an update whose JSON is decoded already.
+    """Validate an endpoint update whose JSON is already decoded.
 
     Raises:
-        ProtocolError: a field is missing or its value cannot be used.
+        ProtocolError: if a field is missing or invalid.
     """
     if not isinstance(value, dict):
-        raise ProtocolError("endpoint list", "want an object")
+        raise ProtocolError("endpoint list", f"expected an object, found {type(value).__name__}")
     version = value.get("generation")
     entries = value.get("instances")
     if not isinstance(version, int) or isinstance(version, bool):
-        raise ProtocolError("generation", f"want a whole number, found {version!r}")
+        raise ProtocolError("generation", f"expected an integer, found {version!r}")
     if not isinstance(entries, list):
-        raise ProtocolError("instances", "want a list")
+        raise ProtocolError("instances", f"expected a list, found {type(entries).__name__}")
     endpoints = [_read_endpoint(entry) for entry in entries]
     return EndpointUpdate(version, value.get("reset") is True, endpoints)
 
 
 def _read_endpoint(entry: Any) -> Endpoint:
     if not isinstance(entry, dict):
-        raise ProtocolError("instances", "want objects")
+        raise ProtocolError("instances", f"expected objects, found {type(entry).__name__}")
     return Endpoint(
         name=_read_name(entry),
         state=_read_state(entry),
@@ -64,14 +64,14 @@
 def _read_name(entry: dict[str, Any]) -> str:
     name = entry.get("instanceId")
     if not isinstance(name, str) or not name:
-        raise ProtocolError("instanceId", f"want a text, found {name!r}")
+        raise ProtocolError("instanceId", f"expected a non-empty string, found {name!r}")
     return name
 
 
 def _read_state(entry: dict[str, Any]) -> api.EndpointState:
     lifecycle = entry.get("lifecycle")
     if lifecycle not in STATE_BY_LIFECYCLE:
-        raise ProtocolError("lifecycle", f"unknown state {lifecycle!r}")
+        raise ProtocolError("lifecycle", f"expected SERVING, DRAINING or DELETED, found {lifecycle!r}")
     return STATE_BY_LIFECYCLE[lifecycle]
 
 
@@ -80,14 +80,14 @@
     if shard is None:
         return api.NO_SHARD
     if isinstance(shard, bool) or not isinstance(shard, int):
-        raise ProtocolError("cell", f"want a whole number, found {shard!r}")
+        raise ProtocolError("cell", f"expected an integer or null, found {shard!r}")
     return shard
 
 
 def _read_start_time_s(entry: dict[str, Any]) -> float:
     started_ms = entry.get("startedAtMs") or 0
     if not is_finite_number(started_ms) or not 0 <= started_ms <= MAX_START_TIME_MS:
-        raise ProtocolError("startedAtMs", f"want Unix time in milliseconds, found {started_ms!r}")
+        raise ProtocolError("startedAtMs", f"expected a Unix time in milliseconds, found {started_ms!r}")
     return float(started_ms / 1000)
 
 
--- a/storage_gateway/endpoints/discovery.py
+++ b/storage_gateway/endpoints/discovery.py
@@ -1,4 +1,4 @@
-"""The discovery client: owns the endpoint watches and publishes what they bring."""
+"""The discovery client: runs the endpoint watches and publishes the updates that they receive."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 from storage_gateway.endpoints.registry import EndpointRegistry, EndpointUpdate
 from storage_gateway.endpoints.watch import EndpointWatch
 
-# Seconds for the whole list, or for the first message of a watch.
-SHARED_CALL_TIMEOUT_S = 1.5  # from one service that all gateway instances call
-LOCAL_CALL_TIMEOUT_S = 1.0  # from an agent of this instance, which has what it has at once
+# Timeouts for the whole list, or for the first message of a watch.
+SHARED_CALL_TIMEOUT_S = 1.5  # from a service that all gateway instances call
+LOCAL_CALL_TIMEOUT_S = 1.0  # from a local agent, which responds at once
 
 
 class DiscoveryClient:
-    """Keeps the registry and the policy up to date by one watch, or by two while discovery moves.
+    """Keeps the registry and the policy up to date by one watch, or more while moving to another address.
 
     Attributes:
-        address: the discovery address that counts.
+        address: the discovery address that is in use, or is being moved to.
         registry: where updates are applied.
-        gateway_count: number of instances that call the same discovery service; 1 for an agent of our own.
-        backoff: draws the delay until a watch calls again.
+        gateway_count: number of instances that call the same discovery service; 1 for a local agent.
+        backoff: draws the delays between the calls of a watch.
         call_timeout_s: seconds for the whole list, or for the first message of a watch.
-        connected: set when the first message has come from discovery since the start.
-        watches: those that go on, the oldest first; the last one is on ``address``.
+        connected: set once discovery has sent a first message since the start.
+        watches: the running watches, the oldest first; the last one watches ``address``.
     """
 
     def __init__(
@@ -38,13 +38,13 @@
         gateway_count: int = 1,
         seed: int = 0,
     ) -> None:
-        """Keep the address for ``start``.
+        """Create a client that calls nothing before ``start``.
 
         Args:
             address: where discovery listens.
             registry: where updates are applied.
-            post: hands an event to the policy.
-            gateway_count: number of instances that call the same discovery service.
+            post: passes an event to the policy.
+            gateway_count: number of instances that call the same discovery service; 1 for a local agent.
             seed: seed of the random delays.
         """
         self.address = address
@@ -59,26 +59,28 @@
         self._superseded: list[EndpointWatch] = []
 
     def start(self) -> None:
-        """Begin to watch.
+        """Start the watch.
 
-        An earlier copy of the list counts, as its versions are those of this address. An instance that has
-        one and shares the discovery service waits for a random delay first: all may have started at one time.
+        With a cached list the watch continues from its version, which this address has issued. An instance
+        that has one and shares the discovery service waits for a random delay first, as all instances may
+        have started at the same time.
         """
-        delays = bool(self.registry.endpoints) and self.gateway_count > 1
-        initial_delay_s = self.backoff.delay_s(0) if delays else 0.0
+        is_delayed = bool(self.registry.endpoints) and self.gateway_count > 1
+        initial_delay_s = self.backoff.delay_s(0) if is_delayed else 0.0
         self.watches.append(EndpointWatch(self, self.address, self.registry.version, initial_delay_s))
 
     def move(self, address: Address) -> None:
-        """Watch another discovery address.
+        """Move to another discovery address.
 
-        The whole list comes first, as the versions of the old address mean nothing to the new one. Until it
-        has come the old watch goes on: no change is missed, and no delay of the old one holds up the new one.
+        The new watch fetches the whole list first, as versions of the old address mean nothing at the new
+        one. The old watch continues until then, so that no change is missed and no delay of the old watch
+        holds up the new one.
         """
         self.address = address
         self.watches.append(EndpointWatch(self, address, None))
 
     def stop(self) -> None:
-        """Cancel all watches; ``closed`` awaits their end."""
+        """Cancel all watches; ``closed`` waits for their end."""
         for watch in self.watches:
             watch.cancel()
 
@@ -88,11 +90,11 @@
             await watch.closed()
 
     def publish(self, update: EndpointUpdate, kind: api.EndpointUpdateKind | None = None) -> None:
-        """Apply an update to the registry and, without a break between, post it to the policy.
+        """Apply an update to the registry and post it to the policy, without awaiting in between.
 
         Args:
             update: the whole list or changes to it.
-            kind: what the policy takes it for; by default a snapshot or a delta, as the update says.
+            kind: the kind that the policy is told; None for a snapshot or a delta, as the update says.
         """
         if kind is None:
             kind = _kind_of(update)
@@ -100,9 +102,9 @@
         self._post(api.EndpointsChanged(kind, self.registry.apply(update)))
 
     def supersede_older_watches(self, watch: EndpointWatch) -> None:
-        """End the watches that were begun before this one, which has published its whole list.
+        """Cancel the watches that were started before this one, which has published its whole list.
 
-        From here on a change that an older one brings could only undo what the new list says.
+        From now on, a change from an older watch could only overwrite newer state.
         """
         self._superseded = [older for older in self._superseded if not older.is_closed()]
         while self.watches and self.watches[0] is not watch:
@@ -111,11 +113,11 @@
             self._superseded.append(older)
 
     def is_moving_to(self, watch: EndpointWatch) -> bool:
-        """Tell whether an older watch goes on until this one has its list."""
+        """Return whether an older watch continues until this one has its list."""
         return watch is not self.watches[0]
 
     def status_fields(self) -> dict[str, object]:
-        """Return the fields of the status log: the list's version, its age and whether its watch fails."""
+        """Return fields for the status line: the list's version and age, and the newest watch's failures."""
         return {
             "endpoint_list_version": self.registry.version,
             "endpoint_list_age_s": round(time.monotonic() - self._updated_at, 1),
--- a/storage_gateway/endpoints/message_assembler.py
+++ b/storage_gateway/endpoints/message_assembler.py
@@ -1,4 +1,4 @@
-"""The messages of an endpoint watch, put together from its lines."""
+"""Assembly of an endpoint watch's messages from its lines."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from storage_gateway.errors import ProtocolError
 
 MAX_MESSAGE_BYTES = 1 << 20
-WATCH_STREAM = "endpoint watch"  # the field that errors name
+ERROR_FIELD = "endpoint watch"  # the field that a ProtocolError names
 
 
 class WatchMessageAssembler:
-    """Puts lines together to messages: one JSON object a line, or an indented one over several lines."""
+    """Assembles lines into messages: a JSON object on one line, or an indented one on several lines."""
 
     def __init__(self) -> None:
         self._incomplete = b""
@@ -20,38 +20,38 @@
         """Add a line with its newline.
 
         Returns:
-            The message that the line completes, which is empty for a blank line between messages; None within
-            a message.
+            The message that the line completes, empty for a blank line between messages; None if the message
+            is not complete yet.
 
         Raises:
-            ProtocolError: the line is cut off, or the message is malformed or too long.
+            ProtocolError: if the line has no newline, or the message is malformed or too long.
         """
         if not line.endswith(b"\n"):
-            raise ProtocolError(WATCH_STREAM, "a line is cut")
+            raise ProtocolError(ERROR_FIELD, "the stream ended within a line")
         is_blank = not line.strip()
         if is_blank and not self._incomplete:
             return b""
         self._incomplete += line
         if len(self._incomplete) > MAX_MESSAGE_BYTES:
-            raise ProtocolError(WATCH_STREAM, "a message does not end")
+            raise ProtocolError(ERROR_FIELD, f"a message is longer than {MAX_MESSAGE_BYTES} bytes")
         try:
             json.loads(self._incomplete)
         except json.JSONDecodeError as error:
-            ends_within_object = error.pos >= len(error.doc.rstrip())
-            if ends_within_object and not is_blank:
+            is_incomplete = error.pos >= len(error.doc.rstrip())
+            if is_incomplete and not is_blank:
                 return None
-            raise ProtocolError(WATCH_STREAM, str(error)) from error
+            raise ProtocolError(ERROR_FIELD, str(error)) from error
         except (ValueError, RecursionError) as error:
-            raise ProtocolError(WATCH_STREAM, str(error)) from error
+            raise ProtocolError(ERROR_FIELD, str(error)) from error
         message = self._incomplete
         self._incomplete = b""
         return message
 
     def end(self) -> None:
-        """Check that the stream did not end within a message.
+        """Check that the stream has ended between messages.
 
         Raises:
-            ProtocolError: it did.
+            ProtocolError: if it has ended within a message.
         """
         if self._incomplete:
-            raise ProtocolError(WATCH_STREAM, "a message is cut")
+            raise ProtocolError(ERROR_FIELD, "the stream ended within a message")
--- a/storage_gateway/endpoints/registry.py
+++ b/storage_gateway/endpoints/registry.py
@@ -1,4 +1,4 @@
-"""The endpoint registry: which storage nodes there are, and their ids, addresses and states."""
+"""The endpoint registry: the known storage nodes with their ids, addresses and states."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from storage_gateway import policy_api as api
 from storage_gateway.config import Address
 
-# Removed endpoints whose ids are kept, as the endpoint may come back or a request in flight may name it.
+# Number of removed endpoints that keep their ids: they may return, or requests in flight may name them.
 MAX_REMOVED_ENDPOINTS = 1024
 
 
@@ -21,9 +21,9 @@
         name: the node's name, unique among the nodes.
         address: where it accepts requests.
         zone: name of its zone.
-        shard: the shard that it holds; ``api.NO_SHARD`` for none.
+        shard: index of the shard that it holds; ``api.NO_SHARD`` for none.
         state: whether it serves, drains or is removed.
-        started_at: Unix time of its start in seconds; 0 for long ago.
+        started_at: Unix time of its last start in seconds; 0 if it started long ago.
     """
 
     name: str
@@ -36,12 +36,12 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointUpdate:
-    """A whole endpoint list, or the changes to one.
+    """A whole endpoint list, or changes to it.
 
     Attributes:
         version: discovery's version of the list after the update.
-        is_snapshot: whether the endpoints are the whole list.
-        endpoints: the endpoints listed, or those that changed.
+        is_snapshot: whether ``endpoints`` is the whole list.
+        endpoints: all endpoints of the list, or those that changed.
     """
 
     version: int
@@ -50,15 +50,15 @@
 
 
 class EndpointRegistry:
-    """The latest state of each endpoint, by the id under which the policy knows it.
+    """The latest state of each endpoint, by the node id that the policy uses.
 
     Attributes:
-        zone_indexes: index of each zone by its name; zones that are new get the next index.
-        node_ids: id of each endpoint by its name. An endpoint that comes back has its earlier id, and no id
-            is given to a second name.
-        endpoints: the endpoints that are listed, by id.
-        version: the version of the latest update; None before the first.
-        listeners: called with the id of each endpoint that changed or is not listed any more.
+        zone_indexes: index of each zone by its name; a new zone gets the next index.
+        node_ids: id of each endpoint by its name. A removed endpoint keeps its id until it is evicted, and no
+            id is given to a second name.
+        endpoints: the endpoints in the current list, by id.
+        version: discovery's version of the list after the latest update; None before the first one.
+        listeners: called with the id of each known endpoint that changed or left the list.
     """
 
     def __init__(self, zone_indexes: dict[str, int]) -> None:
@@ -68,22 +68,22 @@
         self.version: int | None = None
         self.listeners: list[Callable[[int], None]] = []
         self._next_id = count(1)
-        self._removed_names: dict[str, None] = {}  # names that are not listed, in the order of their removal
+        self._removed_names: dict[str, None] = {}  # names of removed endpoints, the oldest first
 
     def is_serving(self, node: int) -> bool:
-        """Tell whether the endpoint is listed as serving."""
+        """Return whether the endpoint is listed as serving."""
         endpoint = self.endpoints.get(node)
         return endpoint is not None and endpoint.state is api.EndpointState.SERVING
 
     def apply(self, update: EndpointUpdate) -> list[api.EndpointEntry]:
         """Apply an update, call the listeners and return the update's entries for the policy."""
-        before = dict(self.endpoints)
+        previous_endpoints = dict(self.endpoints)
         if update.is_snapshot:
             self.endpoints.clear()
         entries = [self._apply_endpoint(endpoint) for endpoint in update.endpoints]
         self.version = update.version
-        self._forget_removed()
-        self._notify_listeners(before)
+        self._evict_removed()
+        self._notify_listeners(previous_endpoints)
         return entries
 
     def _apply_endpoint(self, endpoint: Endpoint) -> api.EndpointEntry:
@@ -97,24 +97,24 @@
         zone_index = self.zone_indexes.setdefault(endpoint.zone, len(self.zone_indexes))
         return api.EndpointEntry(node, endpoint.shard, zone_index, endpoint.state, endpoint.started_at)
 
-    def _notify_listeners(self, before: dict[int, Endpoint]) -> None:
-        for node, endpoint in before.items():
+    def _notify_listeners(self, previous_endpoints: dict[int, Endpoint]) -> None:
+        for node, endpoint in previous_endpoints.items():
             if self.endpoints.get(node) != endpoint:
                 for listener in self.listeners:
                     listener(node)
 
-    def _forget_removed(self) -> None:
-        """Drop the ids of endpoints that were removed long ago.
+    def _evict_removed(self) -> None:
+        """Drop the ids of the endpoints that were removed first, beyond ``MAX_REMOVED_ENDPOINTS``.
 
-        Without this the names would fill the memory of an instance that runs for long while nodes are
-        replaced under new names all the time.
+        Otherwise memory would grow without bound in an instance that runs for long while nodes are
+        continually replaced under new names.
         """
-        unlisted = [name for name, node in self.node_ids.items() if node not in self.endpoints]
+        unlisted_names = [name for name, node in self.node_ids.items() if node not in self.endpoints]
         self._removed_names = {
             name: None for name in self._removed_names if self.node_ids[name] not in self.endpoints
         }
-        self._removed_names.update(dict.fromkeys(unlisted))
-        excess = max(0, len(self._removed_names) - MAX_REMOVED_ENDPOINTS)
-        for name in list(self._removed_names)[:excess]:
+        self._removed_names.update(dict.fromkeys(unlisted_names))
+        excess_count = max(0, len(self._removed_names) - MAX_REMOVED_ENDPOINTS)
+        for name in list(self._removed_names)[:excess_count]:
             del self._removed_names[name]
             del self.node_ids[name]
--- a/storage_gateway/endpoints/watch.py
+++ b/storage_gateway/endpoints/watch.py
@@ -1,4 +1,4 @@
-"""The endpoint watch: the endpoint list of one discovery address and the changes to it."""
+"""The endpoint watch: follows the endpoint list of one discovery address and its changes."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 from storage_gateway.endpoints.registry import EndpointUpdate
 from storage_gateway.errors import ProtocolError
 
-IDLE_TIMEOUT_S = 3.0  # since the last whole message; an empty one comes every 2 s on a watch that works
+IDLE_TIMEOUT_S = 3.0  # since the last complete message; a working watch sends an empty one every 2 s
 log = structlog.get_logger()
 
 
 class WatchOwner(Protocol):
-    """What a watch needs of the client that owns it.
+    """The parts of the discovery client that its watches use.
 
     Attributes:
-        backoff: draws the delay until the next call.
+        backoff: draws the delays between the calls of a watch.
         call_timeout_s: seconds for the whole list, or for the first message of a watch.
-        connected: set when the first message has come from any watch.
+        connected: set once any watch has received a first message.
     """
 
     backoff: ReconnectBackoff
@@ -37,31 +37,30 @@
         """Apply an update to the registry and post it to the policy."""
 
     def supersede_older_watches(self, watch: EndpointWatch) -> None:
-        """End the watches that were begun before this one."""
+        """Cancel the watches that were started before this one."""
 
     def is_moving_to(self, watch: EndpointWatch) -> bool:
-        """Tell whether an older watch goes on until this one has its list."""
+        """Return whether an older watch continues until this one has its list."""
 
 
 class EndpointWatch:
-    """The watch on one discovery address, which begins anew for ever until it is cancelled.
+    """The watch on one discovery address, which reconnects until it is cancelled.
 
     Attributes:
-        initial_delay_s: seconds until the first call.
-        failures: calls in a row that brought no message.
+        initial_delay_s: seconds from the start of the watch to its first call.
+        failures: consecutive calls that ended before a message arrived.
     """
 
     def __init__(
         self, owner: WatchOwner, address: Address, version: int | None, initial_delay_s: float = 0.0
     ) -> None:
-        """Begin to watch.
+        """Start the watch.
 
         Args:
             owner: the client that publishes the updates, and that cancels and awaits the watch.
             address: where discovery listens.
-            version: the version of the list at hand, as this address counts; None to fetch the whole list
-                first.
-            initial_delay_s: seconds until the first call.
+            version: this address's version of the list already held; None to fetch the whole list first.
+            initial_delay_s: seconds from now to the first call.
         """
         host = f"[{address.host}]" if ":" in address.host else address.host
         self.initial_delay_s = initial_delay_s
@@ -72,11 +71,11 @@
         self._task = asyncio.create_task(self._run())
 
     def cancel(self) -> None:
-        """End the watch; it publishes nothing from here on."""
+        """Cancel the watch; it publishes nothing from now on."""
         self._task.cancel()
 
     def is_closed(self) -> bool:
-        """Tell whether the watch has ended and its connection is closed."""
+        """Return whether the watch has ended and its connection is closed."""
         return self._task.done()
 
     async def closed(self) -> None:
@@ -85,7 +84,7 @@
 
     async def _run(self) -> None:
         await asyncio.sleep(self.initial_delay_s)
-        no_timeout = aiohttp.ClientTimeout(total=None)  # each step has its own
+        no_timeout = aiohttp.ClientTimeout(total=None)  # each call sets its own
         async with aiohttp.ClientSession(
             timeout=no_timeout, cookie_jar=aiohttp.DummyCookieJar(), read_bufsize=MAX_MESSAGE_BYTES
         ) as session:
@@ -94,10 +93,9 @@
                 await asyncio.sleep(self._next_delay_s())
 
     async def _fetch_and_follow(self, session: aiohttp.ClientSession) -> None:
-        """Watch until the connection ends or fails.
+        """Follow the list until the connection ends or fails.
 
-        Where a change may have been missed the version is dropped, so that the whole list comes first next
-        time.
+        If a change may have been missed, the version is dropped and the next call fetches the whole list.
         """
         try:
             if self._version is None:
@@ -106,11 +104,11 @@
             log.info("endpoint_watch_ended", address=self._url)
         except ProtocolError as error:
             log.warning("watch_message_skipped", reason=str(error))
-            self._version = None  # the message may have held a change
+            self._version = None  # the message may have contained a change
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError) as error:
             reason = f"{type(error).__name__}: {error}"
             log.warning("endpoint_watch_failed", address=self._url, reason=reason, failures=self.failures)
-        except Exception:  # a fault of our own must not end the task: nothing else would ever call again
+        except Exception:  # a bug must not end the task, as nothing else would call discovery again
             log.exception("endpoint_watch_crashed", address=self._url)
             self._version = None
 
@@ -131,9 +129,10 @@
         self._owner.supersede_older_watches(self)
 
     async def _follow_changes(self, session: aiohttp.ClientSession) -> None:
-        """Publish change after change.
+        """Publish each change until the connection ends.
 
-        The idle timeout counts from the last whole message: bytes of one that never ends do not extend it.
+        The idle timeout counts from the last complete message, so bytes of one that never ends do not extend
+        it.
         """
         parameters = {"watch": "1", "after": str(self._version)}
         assembler = WatchMessageAssembler()
@@ -145,12 +144,12 @@
                     if message is None:
                         continue
                     timeout.reschedule(loop.time() + IDLE_TIMEOUT_S)
-                    self._count_message(len(line))
+                    self._record_message(len(line))
                     if message:
                         self._publish(decode_endpoint_update(message))
             assembler.end()
 
-    def _count_message(self, line_bytes: int) -> None:
+    def _record_message(self, line_bytes: int) -> None:
         if self.failures or not self._owner.connected.is_set():
             log.info("endpoint_watch_connected", address=self._url, failures=self.failures, bytes=line_bytes)
         self.failures = 0
--- a/tests/endpoints/test_backoff.py
+++ b/tests/endpoints/test_backoff.py
@@ -1,4 +1,4 @@
-"""The reconnect backoff: delays grow with the fleet and with failures, within the propagation bound."""
+"""The reconnect backoff: delays grow with the instances and with failures, within the propagation bound."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from storage_gateway.endpoints.registry import EndpointRegistry
 from storage_gateway.endpoints.watch import IDLE_TIMEOUT_S
 
-MOVE_BOUND_S = 4.0  # from a change of the discovery address to the list of the new one
+MOVE_BOUND_S = 4.0  # from a change of the discovery address to the list from the new one
 
 
 def make_client(gateway_count: int, seed: int) -> DiscoveryClient:
@@ -23,30 +23,30 @@
     return DiscoveryClient(address, EndpointRegistry({}), lambda event: None, gateway_count, seed)
 
 
-def test_delay_grows_with_the_fleet_and_with_failures_up_to_a_bound() -> None:
+def test_delay_grows_with_instances_and_failures_up_to_a_bound() -> None:
     assert max_delay_s(0, 1) == MIN_BACKOFF_S
     assert max_delay_s(0, 40) > 10 * max_delay_s(0, 1)
     assert max_delay_s(1, 8) == 2 * max_delay_s(0, 8)
     assert max_delay_s(10**6, 10**6) == MAX_BACKOFF_S
 
 
-def test_local_agent_is_called_again_soon_however_often_it_failed() -> None:
+def test_delay_for_a_local_agent_stays_short_after_any_number_of_failures() -> None:
     assert max_delay_s(10**6, 1) == MAX_LOCAL_BACKOFF_S <= 1.0
 
 
-def test_idle_timeout_or_failed_call_then_delay_and_next_call_fit_into_the_propagation_bound() -> None:
+def test_detection_delay_and_next_call_fit_into_the_propagation_bound() -> None:
     for gateway_count in (1, 2, 40, 10**6):
-        call = SHARED_CALL_TIMEOUT_S if gateway_count > 1 else LOCAL_CALL_TIMEOUT_S
-        assert IDLE_TIMEOUT_S + max_delay_s(0, gateway_count) + call < PROPAGATION_BOUND_S
+        call_s = SHARED_CALL_TIMEOUT_S if gateway_count > 1 else LOCAL_CALL_TIMEOUT_S
+        assert IDLE_TIMEOUT_S + max_delay_s(0, gateway_count) + call_s < PROPAGATION_BOUND_S
         for failures in (1, 2, 5, 10**6):
-            delay = max_delay_s(failures, gateway_count)
-            assert call + delay + call < PROPAGATION_BOUND_S
-            assert call + min(MAX_MOVE_BACKOFF_S, delay) + call < MOVE_BOUND_S
+            delay_s = max_delay_s(failures, gateway_count)
+            assert call_s + delay_s + call_s < PROPAGATION_BOUND_S
+            assert call_s + min(MAX_MOVE_BACKOFF_S, delay_s) + call_s < MOVE_BOUND_S
 
 
-def test_instances_that_lose_their_watch_at_once_do_not_come_back_at_once() -> None:
+def test_reconnects_of_instances_that_lose_their_watch_together_are_spread_out() -> None:
     delays = sorted(make_client(40, seed).backoff.delay_s(0) for seed in range(40))
-    width = max_delay_s(0, 40)
-    for quarter in range(4):  # each quarter of the range has its share of the fleet
-        start, end = quarter * width / 4, (quarter + 1) * width / 4
+    range_s = max_delay_s(0, 40)
+    for quarter in range(4):  # each quarter of the range has some of the 40 instances
+        start, end = quarter * range_s / 4, (quarter + 1) * range_s / 4
         assert sum(start <= delay < end for delay in delays) >= 4
--- a/tests/endpoints/test_codec.py
+++ b/tests/endpoints/test_codec.py
@@ -1,4 +1,4 @@
-"""Discovery's JSON form of endpoints."""
+"""Decoding of the endpoint lists that discovery sends."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
     assert update == EndpointUpdate(version=4, is_snapshot=True, endpoints=[endpoint])
 
 
-def test_entry_without_shard_and_start_holds_none_and_started_long_ago() -> None:
+def test_entry_without_shard_and_start_time_gets_their_defaults() -> None:
     entry = {**ENTRY, "cell": None, "startedAtMs": None}
     (endpoint,) = read_endpoint_update({"generation": 4, "instances": [entry]}).endpoints
     assert (endpoint.shard, endpoint.started_at) == (-1, 0.0)
@@ -56,7 +56,7 @@
     [
         ("instanceId", ""),
         ("instanceId", 7),
-        ("lifecycle", "TEA"),
+        ("lifecycle", "STARTING"),
         ("cell", True),
         ("cell", "3"),
         ("startedAtMs", -1),
--- a/tests/endpoints/test_discovery.py
+++ b/tests/endpoints/test_discovery.py
@@ -1,4 +1,4 @@
-"""The discovery client: one watch, or two while discovery moves."""
+"""The discovery client: one watch, or more while it moves to another address."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 )
 from tests.support.peers import FakeDiscovery
 
-NOWHERE = Address("127.0.0.1", 1)
+UNUSED_ADDRESS = Address("127.0.0.1", 1)
 
 
 class DiscoveryClientTest(unittest.IsolatedAsyncioTestCase):
@@ -32,7 +32,7 @@
     async def test_malformed_message_is_skipped_and_the_whole_list_applied(self) -> None:
         full_list = {"generation": 7, "reset": True, "instances": [discovery_entry("SERVING")]}
         change = {"generation": 8, "reset": False, "instances": [discovery_entry("DRAINING")]}
-        rounds = [[b"", b"{tea"], [b"", json.dumps(change).encode()]]
+        rounds = [[b"", b"{bad"], [b"", json.dumps(change).encode()]]
         service = await FakeDiscovery(full_list, rounds).start()
         registry = EndpointRegistry({})
         events = asyncio.Queue[api.Event]()
@@ -64,7 +64,7 @@
             await events.get()
             await wait_until(lambda: len(old.asked) >= 2)  # the list, then the watch
             client.move(Address("127.0.0.1", unresponsive.sockets[0].getsockname()[1]))
-            for writer in old.writers:  # the new one does not respond: the old one still counts
+            for writer in old.writers:  # the new address does not respond, so the old one is still used
                 writer.write(make_chunk(json.dumps(change).encode() + b"\n"))
             await events.get()
             assert not registry.is_serving(1)
@@ -79,7 +79,7 @@
             service.stop()
         unresponsive.close()
 
-    async def test_single_instance_has_its_list_at_once(self) -> None:
+    async def test_single_instance_fetches_its_list_at_once(self) -> None:
         service = await FakeDiscovery({"generation": 1, "reset": True, "instances": []}, [[b""]]).start()
         events = asyncio.Queue[api.Event]()
         client = DiscoveryClient(Address("127.0.0.1", service.port), EndpointRegistry({}), events.put_nowait)
@@ -89,11 +89,11 @@
         client.stop()
         service.stop()
 
-    async def test_after_a_move_an_address_that_does_not_respond_at_first_is_called_again_soon(self) -> None:
+    async def test_address_moved_to_is_called_again_soon_after_a_timeout(self) -> None:
         service = await ScriptedDiscovery(no_response, snapshot, no_response).start()
         self.addCleanup(service.stop)
         events = asyncio.Queue[api.Event]()
-        client = DiscoveryClient(NOWHERE, EndpointRegistry({}), events.put_nowait, gateway_count=10**6)
+        client = DiscoveryClient(UNUSED_ADDRESS, EndpointRegistry({}), events.put_nowait, gateway_count=10**6)
         client.call_timeout_s = 0.15
         client.start()
         client.move(Address("127.0.0.1", service.port))
@@ -103,7 +103,7 @@
         async with asyncio.timeout(5):
             await events.get()
 
-    async def test_after_stop_all_watches_end_and_close_their_connections(self) -> None:
+    async def test_stop_ends_all_watches_and_closes_their_connections(self) -> None:
         old = await ScriptedDiscovery(no_response).start()
         new = await ScriptedDiscovery(snapshot, no_response).start()
         self.addCleanup(old.stop)
@@ -129,12 +129,12 @@
         registry = EndpointRegistry({})
         if has_list:
             apply_endpoints(registry, make_endpoint("s-1", 1))
-        client = DiscoveryClient(NOWHERE, registry, lambda event: None, gateway_count, seed=3)
+        client = DiscoveryClient(UNUSED_ADDRESS, registry, lambda event: None, gateway_count, seed=3)
         client.start()
         client.stop()
         return client.watches[0].initial_delay_s
 
-    async def test_first_call_is_delayed_where_an_earlier_list_is_at_hand(self) -> None:
+    async def test_first_call_is_delayed_only_with_a_cached_list_and_shared_discovery(self) -> None:
         assert await self.read_initial_delay(40, has_list=True) > 0.0
         assert await self.read_initial_delay(40, has_list=False) == 0.0
         assert await self.read_initial_delay(1, has_list=True) == 0.0
--- a/tests/endpoints/test_registry.py
+++ b/tests/endpoints/test_registry.py
@@ -1,4 +1,4 @@
-"""The endpoint registry."""
+"""The endpoint registry: stable node ids, and its listeners."""
 
 from __future__ import annotations
 
@@ -12,26 +12,28 @@
 
 
 class EndpointRegistryTest(unittest.TestCase):
-    """Ids and listeners."""
+    """Updates that add, change and remove endpoints."""
 
-    def test_removed_endpoints_are_forgotten_in_the_end_and_no_id_is_given_twice(self) -> None:
+    def test_oldest_removed_endpoints_lose_their_ids_and_no_id_is_reused(self) -> None:
         registry = EndpointRegistry({})
-        apply_endpoints(registry, make_endpoint("s-stays", 1))
+        apply_endpoints(registry, make_endpoint("s-unchanged", 1))
         with mock.patch.object(registry_module, "MAX_REMOVED_ENDPOINTS", 3):
             for number in range(9):
                 apply_endpoints(registry, make_endpoint(f"s-{number}", 1))
                 apply_endpoints(registry, make_endpoint(f"s-{number}", 1, EndpointState.REMOVED))
-        assert registry.node_ids == {"s-stays": 1, "s-6": 8, "s-7": 9, "s-8": 10}
+        assert registry.node_ids == {"s-unchanged": 1, "s-6": 8, "s-7": 9, "s-8": 10}
         apply_endpoints(registry, make_endpoint("s-6", 1), make_endpoint("s-new", 1))
         assert (registry.node_ids["s-6"], registry.node_ids["s-new"]) == (8, 11)
 
-    def test_listeners_are_called_for_endpoints_that_changed_or_went(self) -> None:
+    def test_listeners_are_called_for_endpoints_that_changed_or_left_the_list(self) -> None:
         registry = EndpointRegistry({})
-        changed: list[int] = []
-        registry.listeners.append(changed.append)
-        stays, moves, goes = (make_endpoint(name, 1) for name in ("s-stays", "s-moves", "s-goes"))
-        apply_endpoints(registry, stays, moves, goes)
-        assert changed == []
-        apply_endpoints(registry, stays, make_endpoint("s-moves", 2), is_snapshot=True)
-        assert changed == [registry.node_ids["s-moves"], registry.node_ids["s-goes"]]
-        assert not registry.is_serving(registry.node_ids["s-goes"])
+        notified: list[int] = []
+        registry.listeners.append(notified.append)
+        unchanged, changed, removed = (
+            make_endpoint(name, 1) for name in ("s-unchanged", "s-changed", "s-removed")
+        )
+        apply_endpoints(registry, unchanged, changed, removed)
+        assert notified == []
+        apply_endpoints(registry, unchanged, make_endpoint("s-changed", 2), is_snapshot=True)
+        assert notified == [registry.node_ids["s-changed"], registry.node_ids["s-removed"]]
+        assert not registry.is_serving(registry.node_ids["s-removed"])
--- a/tests/endpoints/test_watch.py
+++ b/tests/endpoints/test_watch.py
@@ -1,4 +1,4 @@
-"""The endpoint watch against discovery services that fail: whatever way a call fails, the next one comes."""
+"""The endpoint watch calls a failing discovery service again, in whatever way its calls fail."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
     async def test_bytes_of_a_message_that_does_not_end_do_not_extend_the_idle_timeout(self) -> None:
         assert await self.record_targets(trickling_message, has_list=True) == [WATCH_TARGET] * 3
 
-    async def test_cut_message_is_not_applied_and_the_whole_list_follows(self) -> None:
+    async def test_truncated_message_is_not_applied_and_the_whole_list_is_fetched(self) -> None:
         targets = await self.record_targets(cut_message, snapshot, no_response, has_list=True)
         assert targets[:2] == [WATCH_TARGET, LIST_TARGET]
         event = await self.events.get()
@@ -66,11 +66,11 @@
         assert event.kind is api.EndpointUpdateKind.SNAPSHOT
         assert event.entries[0].state is api.EndpointState.SERVING
 
-    async def test_malformed_message_over_two_lines_is_followed_by_the_whole_list(self) -> None:
+    async def test_whole_list_is_fetched_after_a_malformed_message_over_two_lines(self) -> None:
         targets = await self.record_targets(malformed_message, snapshot, no_response, has_list=True)
         assert targets[:2] == [WATCH_TARGET, LIST_TARGET]
 
-    async def test_indented_message_is_one(self) -> None:
+    async def test_indented_message_over_several_lines_is_applied(self) -> None:
         targets = await self.record_targets(snapshot, indented_message, count=2)
         assert targets[1] == WATCH_TARGET
         async with asyncio.timeout(5):
@@ -79,8 +79,8 @@
         assert changes[1].kind is api.EndpointUpdateKind.DELTA
         assert changes[1].entries[0].state is api.EndpointState.DRAINING
 
-    async def test_fault_of_the_gateway_does_not_end_the_watch(self) -> None:
-        with mock.patch.object(EndpointRegistry, "apply", side_effect=[KeyError("of ours"), []]):
+    async def test_exception_in_the_gateway_does_not_end_the_watch(self) -> None:
+        with mock.patch.object(EndpointRegistry, "apply", side_effect=[KeyError("gateway bug"), []]):
             targets = await self.record_targets(snapshot, snapshot, no_response)
         assert targets[:2] == [LIST_TARGET] * 2
 
@@ -99,22 +99,22 @@
             self.addCleanup(service.stop)
             await events.get()
 
-    async def test_failures_in_a_row_are_counted_until_a_message_comes(self) -> None:
+    async def test_consecutive_failures_are_counted_until_a_message_arrives(self) -> None:
         service = await BusyDiscovery(3).start()
         client = DiscoveryClient(
             Address("127.0.0.1", service.port), EndpointRegistry({}), lambda event: None, gateway_count=40
         )
         client.registry.version = 7
-        counted = asyncio.Queue[int]()
+        failure_counts = asyncio.Queue[int]()
 
         def record_failures(failures: int) -> float:
-            counted.put_nowait(failures)
+            failure_counts.put_nowait(failures)
             return 0.0
 
         with mock.patch.object(client.backoff, "delay_s", record_failures):
             client.start()
             async with asyncio.timeout(5):
-                failures = [await counted.get() for _ in range(5)]
+                failures = [await failure_counts.get() for _ in range(5)]
         client.stop()
         service.stop()
         assert failures == [0, 1, 2, 0, 0]
