--- a/storage_gateway/__init__.py
+++ b/storage_gateway/__init__.py
@@ -1,1 +1,1 @@
-"""A gateway between clients and storage nodes: schedules requests onto nodes, one instance on each host."""
+"""A gateway that schedules clients' requests onto storage nodes, with one instance on each host."""
--- a/storage_gateway/__main__.py
+++ b/storage_gateway/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m storage_gateway`` runs one gateway instance."""
+"""Runs one gateway instance: ``python -m storage_gateway``."""
 
 import sys
 
--- a/storage_gateway/service.py
+++ b/storage_gateway/service.py
@@ -1,4 +1,4 @@
-"""One gateway instance: its parts are built, started, reloaded on SIGHUP and shut down on SIGTERM."""
+"""The gateway process: builds and starts one instance, reloads it on SIGHUP and shuts it down on SIGTERM."""
 
 from __future__ import annotations
 
@@ -26,29 +26,30 @@
 if TYPE_CHECKING:
     from storage_gateway.sftp_service import SftpService
 
-FIRST_UPDATE_TIMEOUT_S = 1.0  # for discovery's first update, after which the cached endpoints have to do
-MIN_ACCEPT_TIME_S = 0.75  # after SIGTERM every request is accepted for this long at the least
-RESERVED_LATENCY_OBJECTIVES = 2.0  # kept for the requests accepted last: times the shortest objective
-EXIT_TIME_S = 0.15  # kept for the exit of the process itself
+FIRST_UPDATE_TIMEOUT_S = 1.0  # without an update by then, the cached endpoints are used
+MIN_ACCEPT_TIME_S = 0.75  # after SIGTERM, requests are accepted for at least this long
+RESERVED_LATENCY_OBJECTIVES = 2.0  # for the last requests accepted, in multiples of the shortest objective
+EXIT_TIME_S = 0.15  # reserved for the exit of the process
 
 log = structlog.get_logger()
 
 
 def accept_time_s(response_time_s: float, latency_objectives_s: list[float]) -> float:
-    """Return for how long a gateway that shuts down accepts requests: while the quickest class can be served.
+    """Return for how many seconds a gateway that shuts down still accepts requests.
 
-    Guards the clients of an instance that is not back before it is ended: no other one serves them meanwhile.
-    A request of a slower class has its response within ``response_time_s`` all the same.
+    No other instance serves its clients until it is back, so it accepts requests for as long as the class
+    with the shortest latency objective can be served. Requests of slower classes still have their response
+    within ``response_time_s``.
 
     Args:
-        response_time_s: seconds from now within which the last response goes out.
-        latency_objectives_s: the latency objective of each class.
+        response_time_s: seconds from now within which the last response is sent.
+        latency_objectives_s: the latency objective of each request class.
     """
     return max(MIN_ACCEPT_TIME_S, response_time_s - RESERVED_LATENCY_OBJECTIVES * min(latency_objectives_s))
 
 
 class Gateway:
-    """The parts of one gateway instance, wired together. It is built in a running event loop."""
+    """One gateway instance with all its parts. It must be created in a running event loop."""
 
     def __init__(self, config: GatewayConfig) -> None:
         settings = config.settings
@@ -62,7 +63,7 @@
             config.idle_close_s,
             config.connection_budget.node_connections,
         )
-        # How many instances call the same discovery service; 1: this one has an agent of its own.
+        # Number of instances that call the same discovery service; 1 if this one has a local agent.
         self._discovery_clients = settings.gateway_count if settings.must_watch_endpoints else 1
         self._discovery = DiscoveryClient(
             config.discovery, self._registry, self._executor.post, self._discovery_clients, config.seed
@@ -73,18 +74,18 @@
         self._sftp_service: SftpService | None = None
 
     def is_ready(self) -> bool:
-        """Return whether the endpoints are known: by discovery or, after a time without it, by the cache."""
+        """Return whether there are endpoints to use: from discovery or, in its absence, from the cache."""
         if self._discovery_clients > 1 and self._registry.endpoints:
-            return True  # it waits for its turn to call discovery, and the cached endpoints do until then
+            return True  # its first call to discovery is delayed; the cached endpoints are used until then
         if self._discovery.connected.is_set():
             return True
         return self._loop.time() - self._start_time > FIRST_UPDATE_TIMEOUT_S
 
     async def start(self) -> None:
-        """Watch the endpoints, listen, and report in the log that this instance is ready.
+        """Start the endpoint watch and the listeners, and log that this instance is ready.
 
         Raises:
-            ConfigurationError: an address cannot be listened on.
+            ConfigurationError: if a configured address cannot be listened on.
         """
         self._discovery.start()
         self._loop.add_signal_handler(signal.SIGHUP, self.reload)
@@ -100,11 +101,11 @@
         ]
         self._executor.start_status_log()
         gc.collect()
-        gc.freeze()  # what the start made stays; later collections pass over it
+        gc.freeze()  # objects created at start live on; later collections need not scan them
         self._log_ready()
 
     def reload(self) -> None:
-        """Read the configuration again on SIGHUP; one with a fault changes nothing."""
+        """Reload the configuration on SIGHUP; an invalid one changes nothing."""
         try:
             result = self._config.apply_reload(read_configuration(os.environ))
         except ConfigurationError as error:
@@ -122,8 +123,8 @@
     async def shut_down(self) -> None:
         """Shut down gracefully: each request has its response before the termination grace period ends.
 
-        Requests are accepted for a while yet, as their clients have no other instance to go to; then the
-        listeners and the idle connections close.
+        Requests are still accepted for a while, as their clients have no other instance to send them to.
+        Then the listeners and the idle connections are closed.
         """
         log.info("shutdown_started", pending=len(self._executor.pending))
         response_time_s = self._config.termination_grace_period_s() - EXIT_TIME_S
@@ -141,7 +142,7 @@
         log.info("gateway_stopped")
 
     async def _start_sftp_service(self) -> SftpService | None:
-        """Start the SFTP service where it is on; elsewhere the process does not even load its modules."""
+        """Start the SFTP service if it is enabled; otherwise its modules are not even imported."""
         if self._config.sftp is None:
             return None
         from storage_gateway.sftp_service import SftpService
@@ -190,7 +191,7 @@
     """Run one gateway instance until SIGTERM or SIGINT, and shut it down gracefully.
 
     Raises:
-        ConfigurationError: an address cannot be listened on.
+        ConfigurationError: if a configured address cannot be listened on.
     """
     stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
@@ -203,8 +204,8 @@
 
 
 def main() -> int:
-    """Run the gateway that the environment configures, and return the exit status of the process."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until the loop handles it, it would end the process
+    """Run the gateway as the environment configures it, and return the exit status of the process."""
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until ``start`` handles it, it would end the process
     configure_logging()
     return run_program("storage_gateway", _run_from_environment, ConfigurationError)
 
--- a/tests/service/__init__.py
+++ b/tests/service/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the gateway process, its start, reload, shutdown and log."""
+"""Tests of the gateway process: its start, reload, shutdown and log."""
--- a/tests/service/test_reload.py
+++ b/tests/service/test_reload.py
@@ -1,4 +1,4 @@
-"""The whole process on SIGHUP: what a reload changes, and that a bad file changes nothing."""
+"""SIGHUP to the whole process: what a reload changes, and that an invalid file changes nothing."""
 
 from __future__ import annotations
 
@@ -14,30 +14,30 @@
 
 
 class ReloadTest(GatewayProcessCase):
-    """SIGHUP makes the gateway read its configuration file again."""
+    """SIGHUP makes the gateway reload its configuration file."""
 
     async def reload(self) -> bytes:
-        """Make the gateway read its file again, and return the line that it logs."""
+        """Make the gateway reload its configuration, and return the line that it logs."""
         self.process.send_signal(signal.SIGHUP)
         return await self.read_log_until(b"event='reload")
 
-    async def test_a_bad_file_changes_nothing_and_is_logged_in_a_line(self) -> None:
+    async def test_invalid_file_changes_nothing_and_is_logged_on_one_line(self) -> None:
         node = await self.start_node(respond_at_once)
         discovery = await self.start_discovery(discovery_snapshot(discovery_entry("SERVING", node.port)))
         await self.start_gateway(discovery=f"127.0.0.1:{discovery.port}")
         await self.wait_until_served("before")
 
-        good = json.loads(self.config_path.read_text())
-        bad_class = {**SETTINGS["Lanes"][0], "AimS": 0}
-        bad_texts = [
+        valid = json.loads(self.config_path.read_text())
+        invalid_class = {**SETTINGS["Lanes"][0], "AimS": 0}
+        invalid_texts = [
             "{",
             "[]",
             "[" * 200_000,
-            json.dumps({**good, "settings": {**SETTINGS, "Lanes": [bad_class]}}),
-            json.dumps({**good, "discovery": "127.0.0.1:" + "9" * 5000}),
+            json.dumps({**valid, "settings": {**SETTINGS, "Lanes": [invalid_class]}}),
+            json.dumps({**valid, "discovery": "127.0.0.1:" + "9" * 5000}),
             "\x00",
         ]
-        for text in bad_texts:
+        for text in invalid_texts:
             self.config_path.write_text(text)
             assert b"event='reload_failed'" in await self.reload()
         self.config_path.unlink()
@@ -45,10 +45,10 @@
 
         await self.wait_until_served("after")
         self.process.send_signal(signal.SIGTERM)
-        _, log_rest = await asyncio.wait_for(self.process.communicate(), 10)
-        assert b"Traceback" not in log_rest
+        _, remaining_log = await asyncio.wait_for(self.process.communicate(), 10)
+        assert b"Traceback" not in remaining_log
 
-    async def test_the_new_discovery_address_is_used_and_the_old_one_kept_on_a_fault(self) -> None:
+    async def test_reload_moves_discovery_but_not_to_an_invalid_address(self) -> None:
         node = await self.start_node(respond_at_once)
         first = await self.start_discovery(discovery_snapshot(generation=9))
         second = await self.start_discovery(discovery_snapshot(discovery_entry("SERVING", node.port)))
@@ -56,7 +56,7 @@
         second_address = f"127.0.0.1:{second.port}"
         await self.start_gateway({"RELAY_DISCOVERY": first_address}, discovery=first_address)
 
-        good = json.loads(self.config_path.read_text())
+        valid = json.loads(self.config_path.read_text())
         changes: list[tuple[dict[str, Any], bytes]] = [
             ({"discovery": "nowhere"}, b"discovery: want HOST:PORT"),
             (
@@ -66,12 +66,12 @@
             ({"discovery": second_address}, b"discovery_moved=False deferred_keys=[]"),
         ]
         for change, logged in changes:
-            self.config_path.write_text(json.dumps({**good, **change}))
+            self.config_path.write_text(json.dumps({**valid, **change}))
             assert logged in await self.reload()
 
         async with asyncio.timeout(10):
-            await self.wait_until_served("t")  # the second service alone lists the node
+            await self.wait_until_served("t")  # only the second service lists the node
         self.process.send_signal(signal.SIGHUP)
-        self.process.send_signal(signal.SIGTERM)  # amid a reload
+        self.process.send_signal(signal.SIGTERM)  # during a reload
         async with asyncio.timeout(5):
             assert await self.process.wait() == 0
--- a/tests/service/test_shutdown.py
+++ b/tests/service/test_shutdown.py
@@ -1,4 +1,4 @@
-"""The whole process on SIGTERM: every request has its response before the process ends."""
+"""SIGTERM to the whole process: every request has its response before the process ends."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 class GracefulShutdownTest(GatewayProcessCase):
     """SIGTERM starts a graceful shutdown."""
 
-    async def test_a_request_accepted_before_has_a_response_though_its_client_waits_longer(self) -> None:
+    async def test_earlier_request_has_a_response_even_if_its_client_would_wait_longer(self) -> None:
         node = await self.start_node(never_respond)
         slow_classes = [{**lane, "GiveUpS": 30.0, "AimS": 9.0} for lane in SETTINGS["Lanes"]]
         await self.start_gateway(
@@ -29,11 +29,11 @@
 
         self.process.send_signal(signal.SIGTERM)
 
-        async with asyncio.timeout(10):  # the response comes before the end, which is due after 3.7 s
+        async with asyncio.timeout(10):  # the response comes before the process ends, at 3.7 s
             assert await requesting in (502, 503)
             assert await self.process.wait() == 0
 
-    async def test_requests_accepted_before_and_requests_that_still_come_have_a_response(self) -> None:
+    async def test_requests_accepted_before_and_after_sigterm_have_a_response(self) -> None:
         release = asyncio.Event()
 
         async def script(trace_id: str) -> bytes:
@@ -56,17 +56,17 @@
         loop = asyncio.get_running_loop()
         shutdown_started_at = loop.time()
         after = await self.get_response(TARGET, **{"X-Trace-Id": "after"})
-        assert (after.status, after.headers.get("Connection")) == (200, None)  # on a connection that is kept
+        assert (after.status, after.headers.get("Connection")) == (200, None)  # the connection stays open
         release.set()
         assert await before == 200
         while loop.time() < shutdown_started_at + 0.9:
             trace_id = str(node.accepted + len(node.heads))
             assert await self.get_status(TARGET, **{"X-Trace-Id": trace_id}) == 200
             await asyncio.sleep(0.1)
-        # Its time ends after the process must; idle connections are closed by then.
+        # Its deadline is later than the end of the process; idle connections are closed by then.
         assert await self.get_status(TARGET, **{"X-Trace-Id": "unanswered"}) in (502, 503)
         assert loop.time() < shutdown_started_at + 2.2
         assert self.process.stderr
         async with asyncio.timeout(5):
-            log_rest = await self.process.stderr.read()
-            assert await self.process.wait() == 0, log_rest
+            remaining_log = await self.process.stderr.read()
+            assert await self.process.wait() == 0, remaining_log
--- a/tests/service/test_start.py
+++ b/tests/service/test_start.py
@@ -1,4 +1,4 @@
-"""The start of the whole process: a bad configuration, readiness, and the budget of descriptors."""
+"""Start of the whole process: invalid configuration, readiness, and the connection budget."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from tests.support.peers import FakeDiscovery, respond_at_once
 from tests.support.process import GatewayProcessCase
 
-MIN_SOCKETS = 112  # the least that the configuration may allow
+MIN_SOCKETS = 112  # the smallest limit that the configuration accepts
 
 
-class BadConfigurationTest(GatewayProcessCase):
-    """A configuration that cannot be used ends the process."""
+class InvalidConfigurationTest(GatewayProcessCase):
+    """An invalid configuration ends the process."""
 
-    async def test_bad_configuration_ends_with_one_line_that_names_the_key(self) -> None:
+    async def test_invalid_configuration_is_reported_on_one_line_that_names_the_key(self) -> None:
         await self.start_process(listen="nowhere")
 
         _, errors = await self.process.communicate()
@@ -27,9 +27,9 @@
 
 
 class ReadinessTest(GatewayProcessCase):
-    """What ``/up`` says of a gateway that has just started."""
+    """What ``/up`` reports for a gateway that has just started."""
 
-    async def test_gateway_is_ready_soon_though_discovery_never_responds(self) -> None:
+    async def test_gateway_is_ready_soon_even_if_discovery_never_responds(self) -> None:
         discovery = await asyncio.start_server(lambda reader, writer: asyncio.sleep(60), "127.0.0.1", 0)
         self.addCleanup(discovery.close)
 
@@ -43,9 +43,9 @@
 
 
 class ConnectionBudgetTest(GatewayProcessCase):
-    """The descriptors of the process are shared out, so that clients cannot use them all."""
+    """File descriptors are divided among the parts of the process, so that clients cannot use them all."""
 
-    async def test_idle_clients_that_use_all_descriptors_block_neither_discovery_nor_nodes(self) -> None:
+    async def test_idle_clients_at_the_descriptor_limit_block_neither_discovery_nor_nodes(self) -> None:
         node = await self.start_node(respond_at_once)
         refusing = await asyncio.start_server(lambda reader, writer: writer.close(), "127.0.0.1", 0)
         discovery_port = refusing.sockets[0].getsockname()[1]
@@ -66,7 +66,7 @@
         self.process.send_signal(signal.SIGTERM)
         for _, writer in idle_clients:
             writer.close()
-        _, log_rest = await asyncio.wait_for(self.process.communicate(), 10)
+        _, remaining_log = await asyncio.wait_for(self.process.communicate(), 10)
         assert self.process.returncode == 0
-        assert b"Traceback" not in log_rest
-        assert log_rest.count(b"\n") < 1000, "a log that runs on is a loop that does"
+        assert b"Traceback" not in remaining_log
+        assert remaining_log.count(b"\n") < 1000, "a log this long comes from a busy loop"
