--- a/storage_gateway/policy_api/__init__.py
+++ b/storage_gateway/policy_api/__init__.py
@@ -1,4 +1,4 @@
-"""The interface of the policy: settings, events in, actions out.
+"""The interface of the policy: its settings, the events it takes and the actions it returns.
 
 Times are seconds on the caller's clock, sizes are units of work as the settings count them, ids are opaque.
 """
--- a/storage_gateway/policy_api/actions.py
+++ b/storage_gateway/policy_api/actions.py
@@ -1,4 +1,4 @@
-"""The actions that a policy asks for."""
+"""The actions that a policy returns."""
 
 from __future__ import annotations
 
@@ -8,12 +8,13 @@
 
 @dataclass(slots=True)
 class SendAttempt:
-    """Send the request to this node.
+    """Send an attempt of the request to this node.
 
     Attributes:
-        request_id: the request.
-        node: the node.
-        first_byte_deadline: the first byte goes no later, however late the connection comes up.
+        request_id: id of the request.
+        node: id of the node.
+        first_byte_deadline: time after which the first byte must not be sent, even if the connection was
+            established late; infinite for no limit.
     """
 
     request_id: str
@@ -23,7 +24,7 @@
 
 @dataclass(slots=True)
 class RejectRequest:
-    """Final answer: rejected; trying again is harmless, best after ``retry_after_s`` seconds."""
+    """Reject the request: the client may safely retry, best after ``retry_after_s`` seconds."""
 
     request_id: str
     retry_after_s: float = 0.0
@@ -31,14 +32,14 @@
 
 @dataclass(slots=True)
 class FailRequest:
-    """Final answer: failed, with no promise about its effect."""
+    """Fail the request: it may or may not have been executed."""
 
     request_id: str
 
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Stop waiting for this attempt."""
+    """Cancel the attempt with this number."""
 
     request_id: str
     attempt: int
@@ -46,7 +47,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Call the policy with ``TimerFired`` after ``delay_s`` seconds; it replaces the timer set before."""
+    """Send ``TimerFired`` after ``delay_s`` seconds; replaces the timer set before."""
 
     delay_s: float
     timer_id: int
@@ -54,7 +55,7 @@
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """Ask for the endpoint list and its changes."""
+    """Request the endpoint list and a watch of its changes."""
 
 
 Action = SendAttempt | RejectRequest | FailRequest | CancelAttempt | SetTimer | WatchEndpoints
--- a/storage_gateway/policy_api/events.py
+++ b/storage_gateway/policy_api/events.py
@@ -1,4 +1,4 @@
-"""The events that a policy is told of."""
+"""The events that a policy processes."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
     @property
     def proves_no_execution(self) -> bool:
-        """The request was certainly not executed by this attempt."""
+        """Whether the attempt cannot have executed the request."""
         return self in _NEVER_EXECUTED
 
 
@@ -31,7 +31,7 @@
 
 
 class EndpointState(Enum):
-    """What discovery says of a node."""
+    """The state of a node in the endpoint list of discovery."""
 
     SERVING = "serving"
     DRAINING = "draining"
@@ -39,28 +39,28 @@
 
 
 class EndpointUpdateKind(Enum):
-    """How an update relates to the endpoint list held so far."""
+    """How an update relates to the known endpoint list."""
 
     DELTA = "delta"
-    """The changes to it."""
+    """The changes to the list."""
     SNAPSHOT = "snapshot"
-    """A new whole list."""
+    """A new, complete list."""
     CACHED = "cached"
-    """An old copy of the whole list."""
+    """A complete list from a cache, which may be outdated."""
     UNAVAILABLE = "unavailable"
-    """A call for it failed; it stays as it was."""
+    """The list could not be fetched; the known one stays in use."""
 
 
 @dataclass(slots=True)
 class EndpointEntry:
-    """A node as an update lists it.
+    """A node in an update of the endpoint list.
 
     Attributes:
-        node: its id, the same as long as the node is known.
-        shard: the shard that it holds.
-        zone: its zone.
-        state: what discovery says of it.
-        started_at: when it last started; 0 for long ago.
+        node: id of the node, which stays the same as long as the node is known.
+        shard: shard that the node holds; ``NO_SHARD`` for none.
+        zone: zone of the node.
+        state: state of the node in discovery.
+        started_at: when the node last started; 0 for long ago.
     """
 
     node: int
@@ -80,18 +80,18 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A request has arrived and is owed one final answer.
+    """A request has arrived and needs exactly one final response.
 
     Attributes:
-        request_id: names it in all later events and actions.
-        class_index: its class, as an index into the settings.
-        plan_index: its volume's plan, as an index into the settings.
-        volume_id: its volume.
-        object_key: the object that it reads or writes, where it names one.
-        shard: the shard that holds the object.
-        units: its size.
-        deadline: when its client stops waiting.
-        gateway_count: instances through which the volume's requests come.
+        request_id: identifies the request in all later events and actions.
+        class_index: index of the request class in the settings.
+        plan_index: index of the volume's plan in the settings.
+        volume_id: id of the volume.
+        object_key: key of the object that the request reads or writes; None if it names none.
+        shard: shard that holds the object; ``NO_SHARD`` for a request that creates one.
+        units: size of the request.
+        deadline: when the client stops waiting.
+        gateway_count: number of gateway instances that the volume uses.
     """
 
     request_id: str
@@ -107,17 +107,17 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt is over.
+    """An attempt has ended.
 
     Attributes:
-        request_id: its request.
-        attempt: its number, from 0.
-        node: where it was sent.
-        outcome: how it ended.
-        elapsed_s: how long it was in flight.
-        request_settled: its request has its final answer by this, or needs none.
-        units_elsewhere: units that the node served the volume through other instances since its last answer
-            to this one about it.
+        request_id: id of the request.
+        attempt: number of the attempt, counted from 0 for each request.
+        node: id of the node that it was sent to.
+        outcome: how the attempt ended.
+        elapsed_s: seconds for which it was in flight.
+        request_settled: whether the client has received its final response, or none is owed any more.
+        units_elsewhere: units that the node has served the volume through other gateway instances since its
+            last report to this one.
     """
 
     request_id: str
@@ -131,7 +131,7 @@
 
 @dataclass(slots=True)
 class ClientCancelled:
-    """The client has closed its connection; no answer is owed."""
+    """The client has closed its connection; no response is owed."""
 
     request_id: str
 
--- a/storage_gateway/policy_api/settings.py
+++ b/storage_gateway/policy_api/settings.py
@@ -1,4 +1,4 @@
-"""The settings of the policy, as one deployment gives them."""
+"""The settings of the policy for a deployment."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 
 class Repeatability(Enum):
-    """What a second execution of a request would do."""
+    """The effect of executing a request a second time."""
 
     REPEATABLE = "repeatable"
-    """No harm, whatever happened to the first."""
+    """A second execution is harmless."""
     IDEMPOTENT_WITH_KEY = "idempotent_with_key"
-    """No harm while the nodes that share its idempotency memory discard duplicates."""
+    """A second attempt is harmless while the nodes that share the idempotency memory discard duplicates."""
     NON_IDEMPOTENT = "non_idempotent"
-    """A doubled effect: it must not be attempted again once it may have been executed."""
+    """The effect would double; no further attempt is allowed once the request may have been executed."""
 
 
 class IdempotencyScope(Enum):
-    """Which nodes share the memory that discards duplicates of a request; values as in the settings."""
+    """The nodes that share the memory which discards duplicates; values as in the settings."""
 
     ALL = "all"
     ZONE = "zone"
@@ -30,13 +30,13 @@
     """A class of requests.
 
     Attributes:
-        latency_objective_s: seconds from arrival within which an answer has its full value.
-        priority_weight: value of a unit answered within the objective.
-        late_value: share of that value which a later answer still has, 0 to 1.
-        repeatability: what a second execution would do.
-        idempotency_scope: where duplicates of a keyed request are discarded.
-        idempotency_window_s: seconds after the first attempt for which they are.
-        ordered_by_key: requests for one object are executed one at a time, in order of arrival.
+        latency_objective_s: seconds from arrival within which a response has its full value.
+        priority_weight: value of a unit if the response meets the latency objective.
+        late_value: share of that value which a late response still has, 0 to 1.
+        repeatability: effect of a second execution.
+        idempotency_scope: nodes that discard duplicates of a keyed request.
+        idempotency_window_s: seconds after the first attempt for which nodes discard duplicates.
+        ordered_by_key: whether requests for the same object are executed one at a time, in order of arrival.
     """
 
     latency_objective_s: float
@@ -50,15 +50,15 @@
 
 @dataclass(slots=True)
 class Plan:
-    """A volume's service plan; rates are units a second over all gateway instances.
+    """The service plan of a volume; rates are units a second over all gateway instances.
 
     Attributes:
         value_factor: factor on the value of each unit.
-        expected_rate: usual rate of a volume of this plan.
-        reserved_rate: rate that is reserved for it.
-        excess_weight: weight with which it shares what the reservations leave.
-        rate_limit: rate that it may not exceed; 0 means no limit.
-        rate_limit_burst: units that it may send at once under that limit.
+        expected_rate: usual rate of a volume with this plan.
+        reserved_rate: rate that is reserved for the volume; 0 for none.
+        excess_weight: weight with which the volume shares the rate that the reservations leave.
+        rate_limit: rate that the volume must not exceed; 0 for no limit.
+        rate_limit_burst: units that the volume may send at once under the rate limit.
     """
 
     value_factor: float
@@ -71,18 +71,18 @@
 
 @dataclass(slots=True)
 class SafetyLimits:
-    """Figures of the rules that no instance may break; None where the deployment sets no such rule.
+    """The limits that no instance may exceed; None if the deployment has no such limit.
 
     Attributes:
-        slow_start_min_share: capacity of a node that has just started, as a share of the full one.
-        slow_start_window_s: seconds after its start until a node has its full capacity.
+        slow_start_min_share: share of its full capacity that a node has just after its start.
+        slow_start_window_s: seconds from the start of a node until it has its full capacity.
         overload_multiple: multiple of its present capacity that a warming node survives.
-        overload_window_s: seconds over which that multiple is counted.
-        endpoint_poll_interval_s: seconds between calls for the endpoint list.
+        overload_window_s: seconds over which the load of a warming node is summed up for that multiple.
+        endpoint_poll_interval_s: seconds between two fetches of the endpoint list.
         key_cooldown_s: seconds that an ordered key waits after an attempt that may still be executed.
-        retry_budget_base: further attempts that are allowed in any window.
-        retry_budget_ratio: further attempts that each accepted request adds.
-        retry_budget_window_s: seconds of the window.
+        retry_budget_base: number of retries allowed in any window.
+        retry_budget_ratio: number of retries that each accepted request adds to the budget.
+        retry_budget_window_s: length of the retry budget's window in seconds.
     """
 
     slow_start_min_share: float
@@ -95,13 +95,13 @@
     retry_budget_ratio: float | None
     retry_budget_window_s: float | None
 
-    def capacity_share(self, age: float) -> float:
-        """Return the least share of its full capacity that a node had throughout the overload window.
+    def capacity_share(self, age_s: float) -> float:
+        """Return the share of its full capacity that a warming node had when the overload window began.
 
         Args:
-            age: seconds since its start.
+            age_s: seconds since the start of the node.
         """
-        warmed_s = max(0.0, age - self.overload_window_s)
+        warmed_s = max(0.0, age_s - self.overload_window_s)
         return (
             self.slow_start_min_share + (1 - self.slow_start_min_share) * warmed_s / self.slow_start_window_s
         )
@@ -109,24 +109,24 @@
 
 @dataclass(slots=True)
 class Settings:
-    """All that a policy is told at its start.
+    """All settings of a policy.
 
     Attributes:
-        classes: request classes; events name them by index.
-        plans: service plans; events name them by index.
-        safety: figures of the rules.
-        seed: for random numbers.
-        gateway_count: gateway instances of the deployment; 0 counts as 1.
-        must_watch_endpoints: the policy has to ask for the endpoint list and its changes.
-        max_attempts: attempts of a request, the first included.
-        can_cancel: attempts in flight may be cancelled.
-        slow_start_units: units that a node takes right after its start, from all instances together, within
+        classes: request classes; events refer to them by index.
+        plans: service plans; events refer to them by index.
+        safety: limits that no instance may exceed.
+        seed: seed of the random number generator.
+        gateway_count: number of gateway instances of the deployment; 0 counts as 1.
+        must_watch_endpoints: whether the policy has to request the endpoint watch with ``WatchEndpoints``.
+        max_attempts: largest number of attempts of a request, including the first.
+        can_cancel: whether attempts in flight can be cancelled.
+        slow_start_units: units that a node takes just after its start, from all instances together, within
             ``safety.overload_window_s``.
         max_request_units: units of the largest request.
-        mean_request_units: units of a mean request.
-        excess_value: share of its value that a unit beyond its reservation has.
-        nodes_report_other_usage: nodes say what they served a volume through other instances.
-        max_retry_after_s: longest retry hint that clients heed; 0 means that they are given none.
+        mean_request_units: units of a request on average.
+        excess_value: share of its full value that a unit beyond the reservation has.
+        nodes_report_other_usage: whether nodes report what they serve a volume through other instances.
+        max_retry_after_s: longest retry hint in seconds that clients follow; 0 for no retry hints.
     """
 
     classes: list[RequestClass]
@@ -146,6 +146,6 @@
 
     @property
     def max_excess_value(self) -> float:
-        """Value of a unit of the dearest class and plan beyond its reservation."""
+        """Largest value of a unit beyond the reservation, over all classes and plans."""
         weight = max(request_class.priority_weight for request_class in self.classes)
         return weight * max(plan.value_factor for plan in self.plans) * self.excess_value
