--- a/storage_gateway/policy/__init__.py
+++ b/storage_gateway/policy/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions of one gateway instance: events in, actions out, no clock and no socket."""
+"""The policy of one gateway instance: events in, actions out. It reads no clock and opens no socket."""
 
 from storage_gateway.policy.policy import Policy
 
--- a/storage_gateway/policy/admission.py
+++ b/storage_gateway/policy/admission.py
@@ -1,10 +1,10 @@
-"""Admission: reservations, the rate beyond them, rate limits, and which requests are shed."""
+"""Admission control: reservations, the excess rate, rate limits and load shedding."""
 
 from __future__ import annotations
 
 import math
 
-from storage_gateway.policy.concurrency import MAX_STEP
+from storage_gateway.policy.concurrency import MAX_BOUND_STEP
 from storage_gateway.policy.node_health import NodeHealth
 from storage_gateway.policy.retries import DEADLINE_MARGIN_S, RetryPolicy
 from storage_gateway.policy_api import Action, CancelAttempt, FailRequest, RejectRequest
@@ -12,7 +12,7 @@
 
 
 class AdmissionControl:
-    """Says what a request is worth at a node, when its volume may send it, and when it is given up."""
+    """Computes the value of a request at a node, enforces the rates of its volume, and sheds requests."""
 
     def __init__(self, state: PolicyState, health: NodeHealth, retries: RetryPolicy) -> None:
         self.state = state
@@ -21,76 +21,91 @@
         self.max_excess_value = state.settings.max_excess_value
 
     def reserve(self, request: Request) -> None:
-        """Draw a new request on its volume's reservation; a retry belongs to its first try, which has drawn.
+        """Draw a new request's units on its volume's reservation, and set its latency objective.
 
-        Guards against clients that retry hard. Harms a new request for an object just after a failed one.
+        A client's retry of a request that has just failed draws nothing and keeps the arrival time of the
+        original, so that clients that retry aggressively gain nothing. The cost: a new request for the same
+        object right after a failed one counts as its retry.
         """
         now = self.state.now
         objective_s = request.request_class.latency_objective_s
-        failed = self.state.requests.failed_tries.pop(request.retry_identity, None)
-        if failed and now - failed.ended_at <= objective_s:
-            request.arrived_at = failed.arrived_at
+        original = self.state.requests.failed_requests.pop(request.retry_identity, None)
+        if original and now - original.ended_at <= objective_s:
+            request.arrived_at = original.arrived_at
         else:
             request.volume.draw_reservation(request.units, int(now))
         request.objective_at = min(request.arrived_at + objective_s, request.deadline)
 
-    def value(self, request: Request, node: Node) -> float:
-        """Return what a unit is worth when sent to this node now."""
+    def unit_value(self, request: Request, node: Node) -> float:
+        """Return the value of one unit of the request if it is sent to this node now."""
         reserved = request.units_in_reservation / request.units
-        share = (reserved + (1 - reserved) * self.state.settings.excess_value) * request.plan.value_factor
-        late = 1.0 if self.in_time(request, node) else request.request_class.late_value
-        return request.request_class.priority_weight * share * late
+        factor = (reserved + (1 - reserved) * self.state.settings.excess_value) * request.plan.value_factor
+        late_factor = 1.0 if self.meets_objective(request, node) else request.request_class.late_value
+        return request.request_class.priority_weight * factor * late_factor
 
-    def in_time(self, request: Request, node: Node) -> bool:
-        """Say whether an answer of this node would come within the objective."""
+    def meets_objective(self, request: Request, node: Node) -> bool:
+        """Return whether this node is expected to respond within the latency objective."""
         return self.state.now + node.response_time(request.units) <= request.objective_at
 
-    def within_reservation(self, request: Request, node: Node) -> bool:
-        """Say whether the whole request is reserved, and in time here."""
-        return request.is_reserved and self.in_time(request, node)
+    def is_within_reservation(self, request: Request, node: Node) -> bool:
+        """Return whether the whole request is reserved and this node is expected to respond in time."""
+        return request.is_reserved and self.meets_objective(request, node)
 
     def excess_ready_at(self, request: Request, node: Node) -> float:
-        """Return when a request beyond its reservation has its part of the node's excess rate.
+        """Return when the excess rate of the node admits a request beyond its reservation.
 
-        Guards against many instances that overfill a node with a slot each: all see its queue and come to
-        like rates by weight. A new object has its rate at all nodes together and never goes late. Should also
-        catch slow nodes. Harms a volume that uses its instances very unevenly.
+        Keeps many instances from overloading a node with one slot each: all of them observe its queue and
+        arrive at similar rates by weight. Slow nodes should be relieved in the same way. The cost: a volume
+        that uses its instances very unevenly gets less than its share. A request that creates an object
+        divides its rate among all nodes and is never sent late.
+
+        Returns:
+            The time; infinite if the request has no excess rate at this node.
         """
-        if self.within_reservation(request, node):
+        if self.is_within_reservation(request, node):
             return self.state.now
-        places = request.gateway_count * (len(self.state.nodes.owners) if request.creates_object else 1)
-        rate = self.health.excess_rate(node) * request.plan.excess_weight / places
-        if self.value(request, node) <= 0 or (request.creates_object and not self.in_time(request, node)):
+        sharers = request.gateway_count * (len(self.state.nodes.owners) if request.creates_object else 1)
+        rate = self.health.excess_rate(node) * request.plan.excess_weight / sharers
+        if self.unit_value(request, node) <= 0 or (
+            request.creates_object and not self.meets_objective(request, node)
+        ):
             rate = 0.0
-        tokens = node.excess_bucket(request.volume_id, rate, self.state.now)
-        return self.state.now - min(0.0, tokens.level) / rate if rate else math.inf
+        bucket = node.excess_bucket(request.volume_id, rate, self.state.now)
+        return self.state.now - min(0.0, bucket.level) / rate if rate else math.inf
+
+    def rate_limit_ready_at(self, request: Request) -> float:
+        """Return when this instance's share of the rate limit admits the request.
 
-    def limit_ready_at(self, request: Request) -> float:
-        """Return when this instance's part of the rate limit has the units, empty at its start."""
+        Only the first attempt counts against the limit. The share is empty when the instance starts.
+        """
         plan = request.plan
         now = self.state.now
         if not plan.rate_limit or request.attempts_sent:
             return now
-        tokens = request.volume.rate_limit
+        bucket = request.volume.rate_limit
         rate = plan.rate_limit / request.gateway_count
-        tokens.refill(rate, plan.rate_limit_burst / request.gateway_count, now)
-        return now + max(0.0, request.units - tokens.level) / rate
+        bucket.refill(rate, plan.rate_limit_burst / request.gateway_count, now)
+        return now + max(0.0, request.units - bucket.level) / rate
 
     def charge(self, request: Request, node: Node, reserved: bool) -> None:
-        """Take what an attempt at this node uses of the excess rate, the reservation and the limit."""
+        """Charge an attempt at this node to the excess rate, the reservation and the rate limit.
+
+        A unit of lower value, or of a class with a smaller bound, costs more of the excess rate.
+        """
         if not reserved:
-            bound = max(MAX_STEP, self.state.classes[request.class_index].bound)
-            price = self.max_excess_value / self.value(request, node) / bound
-            node.excess_tokens[request.volume_id].level -= request.units * price
+            bound = max(MAX_BOUND_STEP, self.state.classes[request.class_index].bound)
+            tokens_per_unit = self.max_excess_value / self.unit_value(request, node) / bound
+            node.excess_tokens[request.volume_id].level -= request.units * tokens_per_unit
         request.draw_reserved_units()
         if not request.attempts_sent:
             request.volume.rate_limit.level -= request.units
 
     def review(self, request: Request) -> None:
-        """Keep a queued request while it can be in time; once late it goes at once, or is shed.
+        """Keep a queued request while it can meet its objective, and shed it otherwise.
 
-        Guards against backlogs that outlive their value, whatever holds them up: surges, silent, warming or
-        unlisted nodes. Harms where answers turn short again just after.
+        Runs after the nodes have chosen, so that a late request which can be sent at once has been sent.
+        Prevents a backlog that outlives its value, whatever delays it: a surge, or a silent, warming or
+        unlisted node. The cost: requests are also shed just before response times improve.
         """
         state = self.state
         node = state.nodes.owners.get(request.shard)
@@ -111,7 +126,7 @@
         self.shed(request, self._reason(request, node), max(ready_at - state.now, slot_wait_s))
 
     def _reason(self, request: Request, node: Node | None) -> RejectReason:
-        """Return what kept a request from its node longest, for the status line."""
+        """Return the rule that delays the request longest, for the status line."""
         if not node:
             return RejectReason.NO_ENDPOINT
         if not request.is_admitted_to(node):
@@ -119,13 +134,13 @@
         ready_at = {
             RejectReason.BACKOFF: node.backoff_until,
             RejectReason.EXCESS_RATE: self.excess_ready_at(request, node),
-            RejectReason.RATE_LIMIT: self.limit_ready_at(request),
+            RejectReason.RATE_LIMIT: self.rate_limit_ready_at(request),
         }
         late = RejectReason.LATE if node.has_free_slot else RejectReason.CONCURRENCY_LIMIT
         return longest_wait(ready_at, self.state.now) or late
 
     def shed(self, request: Request, reason: RejectReason, wait_s: float = 0.0) -> None:
-        """Give the final answer at once: a rejection with a retry hint where trying again is harmless."""
+        """End the request at once: reject it with a retry hint if a retry is harmless, else fail it."""
         self.state.count_rejected(request, reason)
         retry_after_s = min(self.state.settings.max_retry_after_s, wait_s)
         if self.retries.may_reject(request):
@@ -133,13 +148,21 @@
         else:
             self.finish(request, FailRequest(request.request_id))
 
-    def finish(self, request: Request, answer: Action | None, served: bool = False) -> None:
-        """End a request; what is still in flight for it is cancelled where that is allowed."""
+    def finish(self, request: Request, response: Action | None, served: bool = False) -> None:
+        """End a request, and cancel its attempts in flight if cancelling is allowed.
+
+        Args:
+            request: the request; one that is over already is left alone.
+            response: the final response; None if none is owed.
+            served: whether an attempt has served the request.
+        """
         if request.is_over:
             return
         self.state.close(request, served)
-        if answer:
-            self.state.actions.append(answer)
+        if response:
+            self.state.actions.append(response)
         if self.state.settings.can_cancel:
-            self.state.actions.extend(CancelAttempt(request.request_id, one) for one in request.in_flight)
+            self.state.actions.extend(
+                CancelAttempt(request.request_id, number) for number in request.in_flight
+            )
         self.state.requests.forget(request)
--- a/storage_gateway/policy/policy.py
+++ b/storage_gateway/policy/policy.py
@@ -1,4 +1,4 @@
-"""The state machine of the policy: takes events, lets the parts beside it decide, returns their actions."""
+"""The state machine of the policy: dispatches events to the modules that decide, and collects the actions."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from storage_gateway import policy_api as api
 from storage_gateway.policy.admission import AdmissionControl
 from storage_gateway.policy.concurrency import CONTROL_INTERVAL_S, ConcurrencyController
-from storage_gateway.policy.node_health import MAX_NODE_LIMIT, NodeHealth
+from storage_gateway.policy.node_health import MAX_CONCURRENCY_LIMIT, NodeHealth
 from storage_gateway.policy.retries import RetryPolicy
 from storage_gateway.policy.scheduling import Scheduler
-from storage_gateway.policy_state import Node, PolicyState, RejectReason, Request, Subject, WatchDue
+from storage_gateway.policy_state import EndpointWatchDue, Node, PolicyState, RejectReason, Request, Subject
 from storage_gateway.policy_state.status import take_status_fields
 
 
 class Policy:
-    """The decisions of one gateway instance. It reads no clock: each step is told the time."""
+    """Decides for one gateway instance. It reads no clock: the caller passes the time to each step."""
 
     def __init__(self, settings: api.Settings) -> None:
         self.settings = settings
@@ -26,13 +26,18 @@
         self.admission = AdmissionControl(self.state, self.health, self.retries)
         self.scheduler = Scheduler(self.state, self.admission, self.retries)
         if settings.must_watch_endpoints:
-            self.state.timers.add(-math.inf, WatchDue())
+            self.state.timers.add(-math.inf, EndpointWatchDue())
 
     def step(self, now: float, events: list[api.Event]) -> list[api.Action]:
-        """Take the events that have happened by now and return what to do."""
+        """Process the events that have happened by now and return the resulting actions.
+
+        Args:
+            now: the present time in seconds, on the clock of all times in events.
+            events: what has happened since the last step, in order.
+        """
         state = self.state
         state.begin_step(now)
-        if now >= state.round_at + CONTROL_INTERVAL_S:
+        if now >= state.last_round_at + CONTROL_INTERVAL_S:
             self.concurrency.run_round()
         for event in events:
             self._handle(event)
@@ -41,20 +46,20 @@
         self.scheduler.dispatch()
         for request in state.requests.take_to_review():
             self.admission.review(request)
-        if (due_at := state.timers.next_at()) < state.timer_at:  # for nothing else: an idle instance sleeps
-            state.timer_at = due_at
+        if (due_at := state.timers.next_at()) < state.timer_due_at:  # an idle instance sets no timer
+            state.timer_due_at = due_at
             state.actions.append(api.SetTimer(due_at - now, 0))
         return state.actions
 
     def status_fields(self) -> dict[str, object]:
-        """Return the policy's part of the status line; its counts begin anew."""
+        """Return the policy's fields of the status line, and reset its counters."""
         return take_status_fields(self.state)
 
     def _handle(self, event: api.Event) -> None:
         requests = self.state.requests.by_id
         match event:
             case api.TimerFired():
-                self.state.timer_at = math.inf
+                self.state.timer_due_at = math.inf
             case api.EndpointsChanged():
                 self._on_endpoints_changed(event)
             case api.RequestArrived():
@@ -65,12 +70,12 @@
                 self.admission.finish(requests[request_id], None)
 
     def _check(self, subject: Subject) -> None:
-        if isinstance(subject, WatchDue):
+        if isinstance(subject, EndpointWatchDue):
             self.state.actions.append(api.WatchEndpoints())
         elif isinstance(subject, Request) and subject.in_flight:
             self.retries.cancel_overdue(subject)
         else:
-            self.state.check_again(subject)
+            self.state.recheck(subject)
 
     def _on_attempt_ended(self, event: api.AttemptEnded, request: Request) -> None:
         if event.attempt not in request.in_flight:
@@ -83,22 +88,22 @@
         if event.request_settled:
             self.admission.finish(request, None, served)
         elif not request.is_over and not request.in_flight:
-            self._try_again(event, request, attempt.node)
+            self._retry_or_shed(event, request, attempt.node)
         self.state.requests.forget(request)
 
     def _start_key_cooldown(self, request: Request) -> None:
-        cooled_at = self.state.now + self.settings.safety.key_cooldown_s
+        cooldown_end = self.state.now + self.settings.safety.key_cooldown_s
         ordered = request.request_class.ordered_by_key
-        self.state.requests.key_ready_at[request.ordering_key] = cooled_at if ordered else 0.0
+        self.state.requests.key_ready_at[request.ordering_key] = cooldown_end if ordered else 0.0
 
-    def _try_again(self, event: api.AttemptEnded, request: Request, node: Node) -> None:
-        """Queue the request for a further attempt, or shed it where none may help."""
+    def _retry_or_shed(self, event: api.AttemptEnded, request: Request, node: Node) -> None:
+        """Queue the request for another attempt, or shed it if none is allowed or it would be late."""
         self.state.requests.enqueue(request)
         non_idempotent = request.request_class.repeatability is api.Repeatability.NON_IDEMPOTENT
         cancelled = event.outcome is api.AttemptOutcome.CANCELLED
         if non_idempotent and request.possible_executions:
             self.admission.shed(request, RejectReason.NON_IDEMPOTENT)
-        elif cancelled and not self.admission.in_time(request, node):
+        elif cancelled and not self.admission.meets_objective(request, node):
             self.admission.shed(request, RejectReason.LATE)
         elif request.attempts_sent >= self.settings.max_attempts:
             self.admission.shed(request, RejectReason.MAX_ATTEMPTS)
@@ -108,16 +113,16 @@
         nodes = state.nodes
         if event.kind is api.EndpointUpdateKind.UNAVAILABLE:
             interval_s = self.settings.safety.endpoint_poll_interval_s or CONTROL_INTERVAL_S
-            state.timers.add(state.now + interval_s / 4, WatchDue())
+            state.timers.add(state.now + interval_s / 4, EndpointWatchDue())
             return
         if event.kind is not api.EndpointUpdateKind.DELTA:
             nodes.stop_serving()
-        limit = max(1.0, MAX_NODE_LIMIT / state.gateway_count)
+        limit = max(1.0, MAX_CONCURRENCY_LIMIT / state.gateway_count)
         for entry in event.entries:
             nodes.update(entry, limit, self.health.queueing_objective_s / 2, state.now)
         nodes.owners = {}
         for node in nodes.by_id.values():
-            rival = nodes.owners.get(node.shard, node)
-            if node.serving and node.started_at >= rival.started_at:
+            owner = nodes.owners.get(node.shard, node)
+            if node.serving and node.started_at >= owner.started_at:
                 nodes.owners[node.shard] = node
         nodes.reset_ready()
--- a/storage_gateway/policy/retries.py
+++ b/storage_gateway/policy/retries.py
@@ -1,4 +1,4 @@
-"""Attempts: idempotency, order by key, the retry budget, and how long an attempt may be in flight."""
+"""Rules for attempts: idempotency, order by key, the retry budget and attempt timeouts."""
 
 from __future__ import annotations
 
@@ -7,20 +7,24 @@
 from storage_gateway.policy_api import CancelAttempt, IdempotencyScope, Repeatability
 from storage_gateway.policy_state import Node, PolicyState, Request
 
-DEADLINE_MARGIN_S = 0.04  # kept clear of a deadline or an idempotency window: checks and sends take time
-TIMEOUT_FACTOR = 3.0  # times the expected response time: how long an attempt may be in flight
-LOST_ANSWER_SHARE = 0.4  # of the objective: the least for which an attempt whose answer seems lost may be
+# Margin before a deadline or the end of an idempotency window, as checks and sends take time.
+DEADLINE_MARGIN_S = 0.04
+TIMEOUT_FACTOR = 3.0  # multiple of the expected response time that an attempt may be in flight
+LOST_RESPONSE_SHARE = 0.4  # share of the latency objective: shortest timeout if the response seems lost
 
 
 class RetryPolicy:
-    """Says when a request may be attempted, where it may be again, and when an attempt is cancelled."""
+    """Decides when and where a request may be attempted again, and when an attempt is cancelled."""
 
     def __init__(self, state: PolicyState) -> None:
         self.state = state
         self.safety = state.settings.safety
 
     def is_safe_at(self, request: Request, node: Node) -> bool:
-        """Say whether an attempt here has no doubled effect: duplicates of a keyed request are discarded."""
+        """Return whether an attempt at this node cannot execute the request a second time.
+
+        A keyed request is safe while nodes that share the idempotency memory discard its duplicates.
+        """
         request_class = request.request_class
         if not request.possible_executions or request_class.repeatability is Repeatability.REPEATABLE:
             return True
@@ -30,13 +34,16 @@
         return in_window and request.shares_idempotency_memory(node)
 
     def first_byte_deadline(self, request: Request) -> float:
-        """Return when an attempt must have begun: a keyed one while its duplicates are discarded."""
+        """Return until when the first byte of an attempt may be sent; infinite without a limit.
+
+        An attempt of a keyed request must start while duplicates are still discarded.
+        """
         if request.request_class.repeatability is not Repeatability.IDEMPOTENT_WITH_KEY:
             return math.inf
         return request.duplicates_discarded_until - DEADLINE_MARGIN_S
 
     def may_reject(self, request: Request) -> bool:
-        """Say whether a client that tries again, anywhere, does no harm."""
+        """Return whether the client may retry at any gateway instance and node without a second execution."""
         if not request.possible_executions:
             return True
         request_class = request.request_class
@@ -45,13 +52,16 @@
         return request_class.repeatability is Repeatability.REPEATABLE
 
     def key_ready_at(self, request: Request) -> float:
-        """Return when its turn by key has come: it is the oldest, and the key has cooled down."""
+        """Return when the order by key admits the request; infinite while an older one of its key is open.
+
+        The oldest request of a key waits for the end of the key cooldown.
+        """
         requests = self.state.requests
-        cooled_at = requests.key_ready_at.get(request.ordering_key, 0.0)
-        return cooled_at if requests.is_first_of_key(request) else math.inf
+        cooldown_end = requests.key_ready_at.get(request.ordering_key, 0.0)
+        return cooldown_end if requests.is_first_of_key(request) else math.inf
 
-    def budget_ready_at(self, request: Request) -> float:
-        """Return when the retry budget allows the attempt, a first one at once."""
+    def retry_budget_ready_at(self, request: Request) -> float:
+        """Return when the retry budget admits the next attempt; the first attempt needs no budget."""
         state, safety = self.state, self.safety
         if not request.attempts_sent or safety.retry_budget_window_s is None:
             return state.now
@@ -61,30 +71,35 @@
         return state.retried.next_expiry()
 
     def attempt_timeout(self, request: Request, node: Node, sent_at: float) -> float:
-        """Return for how many seconds an attempt may be in flight: its objective at least.
+        """Return for how many seconds an attempt may be in flight, at least the latency objective.
 
-        That is shorter where one sent later is answered already, as nodes take requests in turn.
+        The timeout is shorter if an attempt sent later has been served: nodes process requests in order, so
+        the response is probably lost.
         """
-        share = LOST_ANSWER_SHARE if node.newest_answered > sent_at else 1.0
-        least = request.request_class.latency_objective_s * share
-        return max(least, TIMEOUT_FACTOR * node.response_time(request.units))
+        share = LOST_RESPONSE_SHARE if node.newest_served_sent_at > sent_at else 1.0
+        minimum_s = request.request_class.latency_objective_s * share
+        return max(minimum_s, TIMEOUT_FACTOR * node.response_time(request.units))
 
     def cancel_overdue(self, request: Request) -> None:
-        """Cancel attempts past their timeout. Guards against lost answers and nodes that hang."""
+        """Cancel the attempts past their timeout, against lost responses and nodes that hang."""
         if not self.state.settings.can_cancel:
             return
         for number, (node, sent_at) in request.in_flight.items():
-            due_at = self._cancel_at(request, node, sent_at)
-            if due_at <= self.state.now:
+            timeout_at = self._timeout_at(request, node, sent_at)
+            if timeout_at <= self.state.now:
                 self.state.actions.append(CancelAttempt(request.request_id, number))
-            elif due_at < request.deadline:
-                self.state.timers.add(due_at, request)
+            elif timeout_at < request.deadline:
+                self.state.timers.add(timeout_at, request)
 
-    def _cancel_at(self, request: Request, node: Node, sent_at: float) -> float:
-        """Return when an attempt is overdue; a non-idempotent one, which then fails, only if it is lost."""
-        due_at = sent_at + self.attempt_timeout(request, node, sent_at)
+    def _timeout_at(self, request: Request, node: Node, sent_at: float) -> float:
+        """Return when an attempt times out.
+
+        A cancelled non-idempotent request fails, so its attempt times out only if the response seems lost;
+        otherwise it is checked again after another latency objective.
+        """
+        timeout_at = sent_at + self.attempt_timeout(request, node, sent_at)
         if request.request_class.repeatability is not Repeatability.NON_IDEMPOTENT:
-            return due_at
+            return timeout_at
         objective_s = request.request_class.latency_objective_s
-        seems_lost = node.newest_answered > sent_at
-        return max(due_at, sent_at + objective_s) if seems_lost else self.state.now + objective_s
+        seems_lost = node.newest_served_sent_at > sent_at
+        return max(timeout_at, sent_at + objective_s) if seems_lost else self.state.now + objective_s
--- a/storage_gateway/policy/scheduling.py
+++ b/storage_gateway/policy/scheduling.py
@@ -13,7 +13,7 @@
 
 
 class Scheduler:
-    """Lets the nodes choose among the queued requests."""
+    """Lets each node with a free slot choose among the requests queued for it."""
 
     def __init__(self, state: PolicyState, admission: AdmissionControl, retries: RetryPolicy) -> None:
         self.state = state
@@ -22,27 +22,33 @@
         self.slow_start = SlowStart(state)
 
     def dispatch(self) -> None:
-        """Have nodes choose in order of expected wait, so new objects go where they are answered first."""
+        """Send queued requests, letting the nodes choose in the order of their expected wait.
+
+        Thus a request that creates an object goes to the node that is expected to respond first.
+        """
         ready = self.state.nodes.take_ready()
-        queue = [(self.state.expected_wait(node), place, node) for place, node in enumerate(ready)]
+        queue = [(self.state.expected_wait(node), order, node) for order, node in enumerate(ready)]
         heapify(queue)
         while queue:
-            _, place, node = queue[0]
+            _, order, node = queue[0]
             if request := self.choose(node):
                 self._send(request, node)
-                heapreplace(queue, (self.state.expected_wait(node), place, node))
+                heapreplace(queue, (self.state.expected_wait(node), order, node))
             else:
                 heappop(queue)
 
     def choose(self, node: Node) -> Request | None:
-        """Return the queued request worth most here; classes within their slots go before borrowers."""
+        """Return the queued request of the highest value at this node, or None if none may be sent now.
+
+        Requests of classes within their slots go before those that borrow slots of other classes.
+        """
         now = self.state.now
         best = None
         best_rank = (False, 0.0, 0.0)
         next_ready = math.inf
         for request in self._candidates(node):
-            in_slots = node.in_flight[request.class_index] < node.class_slots[request.class_index]
-            rank = (in_slots, self.admission.value(request, node), -request.objective_at)
+            within_slots = node.in_flight[request.class_index] < node.class_slots[request.class_index]
+            rank = (within_slots, self.admission.unit_value(request, node), -request.objective_at)
             if best is not None and rank <= best_rank:
                 continue
             ready_at = self._ready_at(request, node)
@@ -56,10 +62,11 @@
         return best
 
     def _candidates(self, node: Node) -> list[Request]:
-        """Return what is queued for the node; what is within its reservation has as many slots again.
+        """Return the queued requests for which the node has a slot.
 
-        Guards reservations where an instance has a slot or two at a node, as in a large fleet: one long
-        request beyond its share would bar all that is reserved.
+        Requests within their reservation have as many slots again as the concurrency limit. In a large fleet,
+        where an instance has one or two slots at a node, a single long request beyond its reservation would
+        otherwise block all reserved ones.
         """
         limit = int(node.concurrency_limit)
         queues = self.state.requests.queues
@@ -68,20 +75,20 @@
             return queued
         if node.in_flight_count >= 2 * limit:
             return []
-        return [request for request in queued if self.admission.within_reservation(request, node)]
+        return [request for request in queued if self.admission.is_within_reservation(request, node)]
 
     def _ready_at(self, request: Request, node: Node) -> float:
-        """Return when every rule could allow it; infinite if only an event can, or its answer is too late."""
+        """Return when all rules admit the request; infinite if it awaits an event or misses its deadline."""
         ready_at = max(node.backoff_until, self.admission.excess_ready_at(request, node))
-        answered_at = self.state.now + node.response_time(request.units)
-        if answered_at >= request.deadline - DEADLINE_MARGIN_S or not self.retries.is_safe_at(request, node):
+        response_at = self.state.now + node.response_time(request.units)
+        if response_at >= request.deadline - DEADLINE_MARGIN_S or not self.retries.is_safe_at(request, node):
             return math.inf
-        turn_at = max(self.retries.key_ready_at(request), self.retries.budget_ready_at(request))
-        return max(ready_at, turn_at, self.admission.limit_ready_at(request))
+        retry_ready_at = max(self.retries.key_ready_at(request), self.retries.retry_budget_ready_at(request))
+        return max(ready_at, retry_ready_at, self.admission.rate_limit_ready_at(request))
 
     def _send(self, request: Request, node: Node) -> None:
         state = self.state
-        reserved = self.admission.within_reservation(request, node)
+        reserved = self.admission.is_within_reservation(request, node)
         self.admission.charge(request, node, reserved)
         state.timers.add(state.now + self.retries.attempt_timeout(request, node, -math.inf), request)
         state.record_sent(request, node, reserved)
--- a/storage_gateway/policy_state/estimators.py
+++ b/storage_gateway/policy_state/estimators.py
@@ -1,4 +1,4 @@
-"""Estimators: token bucket, decaying rate, running means, demand, and the slope of a line."""
+"""Estimators: token bucket, decaying rate, running mean, sliding window, demand and linear fit."""
 
 from __future__ import annotations
 
@@ -10,22 +10,27 @@
 
 from storage_gateway.policy_api import NO_SHARD
 
-FAST_GAIN = 0.1
-"""Weight of one answer in a running mean of a node's times, more where answers are rare."""
+RESPONSE_GAIN = 0.1
+"""Weight of one response in a running mean of a node's times; in the queueing delay, it is larger if
+responses are rare."""
 
 
 def clamp(value: float, minimum: float, maximum: float) -> float:
-    """Return the value, moved into the range where it lies outside."""
+    """Limit a value to a range."""
     return max(minimum, min(maximum, value))
 
 
 def bisect_decreasing(
-    function: Callable[[float], float], goal: float, low: float, high: float, halvings: int
+    function: Callable[[float], float], target: float, low: float, high: float, steps: int
 ) -> float:
-    """Return the upper end of the interval in which a decreasing function comes down to the goal."""
-    for _ in range(halvings):
+    """Find by bisection where a decreasing function reaches the target.
+
+    Returns:
+        The upper end of the last interval.
+    """
+    for _ in range(steps):
         middle = (low + high) / 2
-        if function(middle) > goal:
+        if function(middle) > target:
             low = middle
         else:
             high = middle
@@ -33,10 +38,10 @@
 
 
 def slope_through_origin(points: Sequence[tuple[float, float]]) -> float | None:
-    """Fit the slope of the steps from one point (x, y) to the next by least squares through the origin.
+    """Fit a line through the origin to the differences between successive points (x, y), by least squares.
 
     Returns:
-        The slope, or None unless it is positive.
+        The slope; None unless it is positive.
     """
     steps = [(after[0] - before[0], after[1] - before[1]) for before, after in pairwise(points)]
     slope = sum(dx * dy for dx, dy in steps) / max(sum(dx * dx for dx, _ in steps), 1e-12)
@@ -44,15 +49,15 @@
 
 
 def low_biased_mean(mean: float, value: float) -> float:
-    """Move a running mean towards a value, four times as fast downwards as upwards."""
-    return mean + (FAST_GAIN if value < mean else FAST_GAIN / 4) * (value - mean)
+    """Return a running mean moved towards a value, four times as fast downwards as upwards."""
+    return mean + (RESPONSE_GAIN if value < mean else RESPONSE_GAIN / 4) * (value - mean)
 
 
 class TokenBucket:
-    """Units that fill up at a rate, to a capacity at most.
+    """A token bucket that counts units of work.
 
     Attributes:
-        level: units in the bucket; below 0 after a debt.
+        level: units in the bucket; negative while it is in debt.
         refilled_at: when ``refill`` was last called.
     """
 
@@ -63,13 +68,13 @@
         self.refilled_at = now
 
     def refill(self, rate: float, capacity: float, now: float) -> None:
-        """Add what has come at ``rate`` units a second since the last call."""
+        """Add ``rate`` units for each second since the last call, up to the capacity."""
         self.level = min(capacity, self.level + rate * (now - self.refilled_at))
         self.refilled_at = now
 
 
 class DecayingRate:
-    """Units a second, in the mean over about the last ``span_s`` seconds (exponential decay)."""
+    """A mean rate in units a second with exponential decay; ``span_s`` is its time constant in seconds."""
 
     __slots__ = ("mean", "read_at", "span_s")
 
@@ -79,25 +84,25 @@
         self.read_at = 0.0
 
     def at(self, now: float) -> float:
-        """Return the rate as of now."""
+        """Return the rate at the present time."""
         self.mean *= math.exp((self.read_at - now) / self.span_s)
         self.read_at = now
         return self.mean
 
     def add(self, units: float, now: float) -> None:
-        """Count units that came just now."""
+        """Count units that have arrived now."""
         self.mean = self.at(now) + units / self.span_s
 
 
 class SlidingWindow:
-    """Times of events within the last ``span_s`` seconds, the oldest first."""
+    """Counts the events of the last ``span_s`` seconds."""
 
     def __init__(self, span_s: float) -> None:
         self.span_s = span_s
         self.times: deque[float] = deque()
 
     def add(self, now: float) -> None:
-        """Count an event."""
+        """Count an event that happens now."""
         self.times.append(now)
 
     def count(self, now: float) -> int:
@@ -107,29 +112,30 @@
         return len(self.times)
 
     def next_expiry(self) -> float:
-        """Return when the oldest event leaves the window, infinite for none."""
+        """Return when the oldest event leaves the window; infinite if it is empty."""
         return self.times[0] + self.span_s if self.times else math.inf
 
 
 class ShardRates(NamedTuple):
-    """Demand for one shard over the recent and the long span."""
+    """Demand for one shard over the recent and the long time span."""
 
     recent: DecayingRate
     long: DecayingRate
 
 
 class ShardDemand(NamedTuple):
-    """Units a second that this instance could send to one shard: inside reservations, and in all."""
+    """Units a second that this instance could send to one shard: within reservations, and in total."""
 
     reserved: float
     total: float
 
 
 class DemandEstimate:
-    """What this instance could send just now, in all and inside reservations, and each shard's part of it.
+    """Estimates the present demand for each shard, in total and within reservations.
 
-    An instance hears of one shard too seldom to know its rate of the moment; how all of its traffic goes now,
-    and the shard's part of it over long, tell it. Who knows little yet takes all for the shard's.
+    An instance gets too few requests for one shard to measure their present rate directly. The estimate is
+    the present rate of all requests times the shard's share of them over the long span. The share starts at 1
+    and falls as requests for other shards are counted.
     """
 
     def __init__(self, recent_span_s: float, long_span_s: float, mean_units: float) -> None:
@@ -142,7 +148,7 @@
         self.shards: dict[int, ShardRates] = {}
 
     def add(self, shard: int, units: float, reserved: bool, now: float) -> None:
-        """Count a request that could be sent now, ``reserved`` if it is inside its reservation."""
+        """Count a request that could be sent now; ``reserved`` if it is within its reservation."""
         if shard not in self.shards:
             rates = ShardRates(DecayingRate(self.recent_span_s), DecayingRate(self.long_span_s))
             self.shards[shard] = rates
@@ -154,26 +160,26 @@
         shard_long.add(units, now)
 
     def at(self, shard: int, units: float, now: float) -> ShardDemand:
-        """Return the shard's part of the demand.
+        """Return the demand for a shard.
 
         Args:
             shard: a shard that ``add`` was called with.
-            units: what came for it just now, already counted.
+            units: units of the request that has just been counted for it.
             now: the present time.
         """
         shard_recent, shard_long = self.shards[shard]
         prior = self.mean_units / self.long_span_s
-        part = 1.0 if shard == NO_SHARD else (shard_long.at(now) + prior) / (self.long.at(now) + prior)
+        share = 1.0 if shard == NO_SHARD else (shard_long.at(now) + prior) / (self.long.at(now) + prior)
         recent = self.recent.at(now)
         reserved = self.recent_reserved.at(now)
-        demanded = max(part * recent, shard_recent.at(now) - units / self.recent_span_s)
+        demanded = max(share * recent, shard_recent.at(now) - units / self.recent_span_s)
         return ShardDemand(demanded * min(1.0, reserved / recent), demanded)
 
     def requests_seen(self, now: float) -> float:
-        """Return the number of requests that the estimate rests on."""
+        """Return about how many requests of mean size the long span holds."""
         return self.long.at(now) * self.long_span_s / self.mean_units
 
     def forget_unused(self, now: float) -> None:
-        """Drop shards of which hardly anything is left over the long span."""
-        least = self.mean_units / self.long_span_s / self.long_span_s
-        self.shards = {shard: rates for shard, rates in self.shards.items() if rates.long.at(now) > least}
+        """Drop shards with next to no demand over the long span."""
+        minimum = self.mean_units / self.long_span_s / self.long_span_s
+        self.shards = {shard: rates for shard, rates in self.shards.items() if rates.long.at(now) > minimum}
--- a/storage_gateway/policy_state/node.py
+++ b/storage_gateway/policy_state/node.py
@@ -1,4 +1,4 @@
-"""The record of a node."""
+"""The record of a storage node."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from storage_gateway.policy_state.estimators import TokenBucket, low_biased_mean
 
 
-class NodeStart(NamedTuple):
-    """One life of a node, from one start to the next."""
+class NodeIncarnation(NamedTuple):
+    """A node between one start and the next."""
 
     node_id: int
     started_at: float
@@ -19,32 +19,33 @@
 
 @dataclass(slots=True, eq=False)
 class Node:
-    """A listed node, as this instance knows it.
+    """What this gateway instance knows about a listed node.
 
     Attributes:
-        node_id: its id.
-        shard: the shard that it holds.
-        zone: its zone.
-        start: its present life.
-        started_at: when it last started; 0 for long ago.
-        serving: it takes new requests.
-        concurrency_limit: requests that may be in flight there.
-        in_flight: requests in flight there, by class.
-        in_flight_count: their sum.
-        class_slots: slots of the limit, by class.
-        class_demand: request seconds queued or in flight there since the last control round, by class.
-        queueing_delay_s: mean time that a request waits there.
-        unit_time_s: mean time of service for a unit; 0 until it has answered.
-        excess_rate: units a second by weight that a volume may send beyond its reservation.
-        excess_tokens: a volume's part of that rate, by volume.
-        headroom_seen: ``NodeTable.headroom`` when it last answered.
-        slow_start_tokens: after a start, expected units that may still be sent at once.
-        backoff_until: nothing is sent before.
-        failures_in_row: attempts without an answer since the last answer.
-        next_check_at: when a timer is due to look at it next.
-        served_units: units that it has served since the last control round.
-        answered_at: when it last answered.
-        newest_answered: when the latest sent of its answered attempts was sent.
+        node_id: id of the node.
+        shard: shard that the node holds; ``NO_SHARD`` for none.
+        zone: zone of the node.
+        incarnation: identifies the node since its last start.
+        started_at: when the node last started; 0 for long ago.
+        serving: whether discovery lists the node as taking new requests.
+        concurrency_limit: number of requests that may be in flight; rounded down for use.
+        in_flight: number of requests in flight, by class index.
+        in_flight_count: number of requests in flight of all classes.
+        class_slots: number of slots of each class, by class index.
+        class_demand: seconds that requests were queued or in flight since the last control round, summed up
+            by class index.
+        queueing_delay_s: mean seconds that a request waits at the node.
+        unit_time_s: mean seconds of service for a unit; 0 until the node has served an attempt.
+        excess_rate: units a second that a volume of weight 1 may send beyond its reservation.
+        excess_tokens: token bucket of each volume's share of the excess rate, by volume id.
+        headroom_at_update: ``NodeTable.headroom`` when the excess rate was last updated.
+        slow_start_tokens: units that may still be sent at once after a start, as an expected value.
+        backoff_until: time before which nothing is sent to the node.
+        consecutive_failures: failed attempts since the last served one.
+        next_check_at: when the next timer for the node is due; infinite for none.
+        served_units: units served since the last control round.
+        last_served_at: when the node last served an attempt; 0 for never.
+        newest_served_sent_at: latest send time of all served attempts; 0 for none.
     """
 
     node_id: int
@@ -56,20 +57,20 @@
     class_demand: list[float]
     queueing_delay_s: float
     excess_rate: float
-    start: NodeStart
+    incarnation: NodeIncarnation
     started_at: float = 0.0
     serving: bool = True
     in_flight_count: int = 0
     unit_time_s: float = 0.0
     excess_tokens: dict[int, TokenBucket] = field(default_factory=dict)
-    headroom_seen: float = 1.0
+    headroom_at_update: float = 1.0
     slow_start_tokens: TokenBucket = field(default_factory=lambda: TokenBucket(math.inf, 0.0))
     backoff_until: float = 0.0
-    failures_in_row: int = 0
+    consecutive_failures: int = 0
     next_check_at: float = math.inf
     served_units: float = 0.0
-    answered_at: float = 0.0
-    newest_answered: float = 0.0
+    last_served_at: float = 0.0
+    newest_served_sent_at: float = 0.0
 
     @classmethod
     def from_entry(
@@ -80,7 +81,7 @@
         queueing_delay_s: float,
         excess_rate: float,
     ) -> Node:
-        """Make the record of a node that is listed for the first time."""
+        """Create the record of a node that is listed for the first time, for this number of classes."""
         return cls(
             node_id=entry.node,
             shard=entry.shard,
@@ -91,20 +92,20 @@
             class_demand=[0.0] * classes,
             queueing_delay_s=queueing_delay_s,
             excess_rate=excess_rate,
-            start=NodeStart(entry.node, 0.0),
+            incarnation=NodeIncarnation(entry.node, 0.0),
         )
 
     @property
     def has_free_slot(self) -> bool:
-        """Its concurrency limit allows one more request."""
+        """Whether the concurrency limit allows another request."""
         return self.in_flight_count < int(self.concurrency_limit)
 
     def response_time(self, units: float) -> float:
-        """Estimate the time in seconds from sending a request of this size to its answer."""
+        """Estimate the seconds from sending a request of this size to its response."""
         return self.queueing_delay_s + self.unit_time_s * units
 
     def excess_bucket(self, volume_id: int, rate: float, now: float) -> TokenBucket:
-        """Return the volume's part of the excess rate, refilled; it holds one second of it, full at first."""
+        """Return the volume's bucket of the excess rate, refilled; it starts full, with one second of it."""
         bucket = self.excess_tokens.get(volume_id)
         if bucket is None:
             bucket = self.excess_tokens[volume_id] = TokenBucket(rate, now)
@@ -112,34 +113,36 @@
         return bucket
 
     def restart(self, started_at: float, now: float) -> None:
-        """Take in that it has started anew."""
-        self.start = NodeStart(self.node_id, started_at)
+        """Record a start of the node; its slow start begins again."""
+        self.incarnation = NodeIncarnation(self.node_id, started_at)
         self.started_at = started_at
         self.slow_start_tokens = TokenBucket(math.inf, now)
 
-    def learn_times(
+    def update_times(
         self, elapsed_s: float, units: float, unit_time_s: float, gain: float, max_units: float
     ) -> None:
-        """Tell service from queueing in the time of an answer: short answers are service, the rest is queue.
+        """Update the service time and the queueing delay by the time of a response.
 
-        Work goes with units, so a slow node or a large request is not taken for a queue. Misjudges a node of
-        which no answer is short for long.
+        The shortest times for a unit count as service, and what exceeds them as queueing. As service is in
+        proportion to the units, a slow node or a large request is not mistaken for a queue. The estimate is
+        wrong for a node that gives no short response for a long time.
 
         Args:
-            elapsed_s: time from sending to the answer.
+            elapsed_s: seconds from sending the request to its response.
             units: size of the request.
-            unit_time_s: mean over all nodes, for a node that has not answered yet.
-            gain: weight of this answer in the mean delay.
-            max_units: size from which a request may be more work than its units say.
+            unit_time_s: mean over all nodes, used for a node that has not served an attempt yet.
+            gain: weight of this response in the mean queueing delay.
+            max_units: size from which on a request may be more work than its units say; it never raises the
+                queueing delay.
         """
         self.unit_time_s = low_biased_mean(self.unit_time_s or unit_time_s, elapsed_s / units)
         delay = max(0.0, elapsed_s - self.unit_time_s * units)
         if units < max_units or delay < self.queueing_delay_s:
             self.queueing_delay_s += gain * (delay - self.queueing_delay_s)
 
-    def record_answer(self, sent_at: float, units: float, now: float) -> None:
-        """Take in that an attempt was served."""
-        self.newest_answered = max(self.newest_answered, sent_at)
-        self.answered_at = now
-        self.failures_in_row = 0
+    def record_served(self, sent_at: float, units: float, now: float) -> None:
+        """Record an attempt that the node has served."""
+        self.newest_served_sent_at = max(self.newest_served_sent_at, sent_at)
+        self.last_served_at = now
+        self.consecutive_failures = 0
         self.served_units += units
--- a/storage_gateway/policy_state/reject_reason.py
+++ b/storage_gateway/policy_state/reject_reason.py
@@ -1,4 +1,4 @@
-"""Why a request is shed."""
+"""The reasons for which a request is shed."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class RejectReason(StrEnum):
-    """What kept a request from being served, as the status line counts it."""
+    """The rule that kept a request from being served; the status line counts them."""
 
     NO_ENDPOINT = "no_endpoint"
     SLOW_START = "slow_start"
@@ -20,6 +20,6 @@
 
 
 def longest_wait(ready_at: dict[RejectReason, float], now: float) -> RejectReason | None:
-    """Return what the request would have had to wait for longest, None where nothing is ahead of it."""
+    """Return the reason that is in force longest, None if none is in force now."""
     longest = max(ready_at, key=lambda reason: ready_at[reason])
     return longest if ready_at[longest] > now else None
--- a/storage_gateway/policy_state/state.py
+++ b/storage_gateway/policy_state/state.py
@@ -1,4 +1,4 @@
-"""The record that the parts of the policy share."""
+"""The state that the modules of the policy share."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from storage_gateway.policy_api import Action, AttemptEnded, AttemptOutcome, RequestArrived, Settings
 from storage_gateway.policy_state.class_estimate import ClassEstimate
-from storage_gateway.policy_state.estimators import FAST_GAIN, DemandEstimate, SlidingWindow, clamp
+from storage_gateway.policy_state.estimators import RESPONSE_GAIN, DemandEstimate, SlidingWindow, clamp
 from storage_gateway.policy_state.node import Node
 from storage_gateway.policy_state.node_table import NodeTable
 from storage_gateway.policy_state.reject_reason import RejectReason
@@ -18,33 +18,33 @@
 from storage_gateway.policy_state.volume_table import VolumeTable
 
 IDLE_MEMORY_S = 60.0
-"""Seconds after which an unused volume or node is forgotten: a reservation has long filled up again."""
+"""Seconds after which an unused volume or node is forgotten; a reservation is full again long before."""
 MIN_DEMAND_SPAN_S = 1.0
-"""Least span of what counts as recent demand."""
+"""Least time span over which recent demand is averaged."""
 
 
 class PolicyState:
-    """All that one gateway instance remembers. ``Policy`` owns it and hands it to its parts.
+    """The state of the policy of one gateway instance; ``Policy`` owns it and shares it with its modules.
 
     Attributes:
-        settings: what the policy was told at its start.
-        gateway_count: instances of the deployment, 1 at least.
-        now: the time of the present step.
-        actions: what the present step has decided so far.
-        started_at: the time of the first step; infinite before.
-        round_at: when the last control round was.
-        nodes: the nodes.
-        requests: the requests in hand.
-        volumes: the volumes lately used.
-        classes: what is known of each class.
-        demand: what this instance could send just now.
-        accepted: requests that arrived within the window of the retry budget.
-        retried: further attempts within that window.
-        timers: what is to be checked, and when.
-        timer_at: when the timer that the caller holds will fire.
-        random: the generator of random numbers.
-        counters: what was done and why, since the last status line.
-        failures_by_node: attempts that were not served, by node, since the last status line.
+        settings: settings of the policy.
+        gateway_count: number of gateway instances of the deployment, at least 1.
+        now: time of the present step.
+        actions: actions of the present step so far.
+        started_at: time of the first step; infinite before it.
+        last_round_at: time of the last control round, at first of the first step; infinite before it.
+        nodes: nodes that the endpoint list has named.
+        requests: open requests and recently failed ones.
+        volumes: recently used volumes.
+        classes: measurements and bounds of each class, by class index.
+        demand: estimate of the present demand for each shard.
+        accepted: arrivals of requests within the window of the retry budget.
+        retried: attempts after the first of a request, within the same window.
+        timers: requests, nodes and the endpoint watch to check at a later time.
+        timer_due_at: when the timer set by the last ``SetTimer`` fires; infinite for none.
+        random: random number generator with the seed of the settings.
+        counters: counts of arrivals, attempts, outcomes and rejections since the last status line.
+        failures_by_node: number of attempts that were not served, by node id, since the last status line.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -53,53 +53,55 @@
         self.now = 0.0
         self.actions: list[Action] = []
         self.started_at = math.inf
-        self.round_at = math.inf
+        self.last_round_at = math.inf
         self.nodes = NodeTable(settings)
         self.requests = RequestTable(self.nodes)
         self.volumes = VolumeTable(settings)
-        self.classes = [ClassEstimate(one, 1.0 / len(settings.classes)) for one in settings.classes]
+        self.classes = [
+            ClassEstimate(request_class, 1.0 / len(settings.classes)) for request_class in settings.classes
+        ]
         recent_span_s = max(settings.safety.overload_window_s, MIN_DEMAND_SPAN_S)
         self.demand = DemandEstimate(recent_span_s, IDLE_MEMORY_S, settings.mean_request_units or 1.0)
         self.accepted = SlidingWindow(settings.safety.retry_budget_window_s or 0.0)
         self.retried = SlidingWindow(settings.safety.retry_budget_window_s or 0.0)
         self.timers = TimerQueue()
-        self.timer_at = math.inf
+        self.timer_due_at = math.inf
         self.random = random.Random(settings.seed)
         self.counters: Counter[str] = Counter()
         self.failures_by_node: Counter[int] = Counter()
 
     def expected_wait(self, node: Node) -> float:
-        """Estimate the seconds until an answer to a new object here, by this instance's own backlog."""
+        """Estimate the seconds until another request would get its response, by this instance's backlog."""
         response_time = node.response_time(self.settings.mean_request_units)
         ahead = node.in_flight_count + len(self.requests.queues.get(node.shard, ())) + 1
         return response_time * ahead / node.concurrency_limit
 
     def begin_step(self, now: float) -> None:
-        """Note the time of the step that begins, the first one as the start."""
+        """Begin a step at this time, with no actions."""
         self.now = now
         self.actions = []
         if self.started_at == math.inf:
             self.started_at = now
-            self.round_at = now
+            self.last_round_at = now
 
     def check_node_at(self, node: Node, due_at: float) -> None:
-        """Have the node choose again then, unless it will at the same time or before."""
+        """Have the node choose again at this time, unless a timer is due for it by then."""
         if not self.now < node.next_check_at <= due_at:
             node.next_check_at = due_at
             self.timers.add(due_at, node)
 
-    def check_again(self, subject: Request | Node) -> None:
-        """Have the node choose again, or the owner of the request's shard, and review the request."""
+    def recheck(self, subject: Request | Node) -> None:
+        """Have the node, or the owner of the request's shard, choose again, and review the request."""
         self.nodes.mark_ready(subject.shard)
         if isinstance(subject, Request):
             self.requests.to_review.append(subject)
 
     def record_arrived(self, event: RequestArrived) -> Request:
-        """Make the record of a request that has arrived and queue it."""
+        """Create the record of a request that arrives now, and queue it."""
         self.counters["arrived"] += 1
         if self.settings.safety.retry_budget_window_s is not None:
             self.accepted.add(self.now)
-            self.nodes.mark_all_ready()  # the budget has grown, so that queued retries may go
+            self.nodes.mark_all_ready()  # the retry budget has grown and may admit queued retries
         request_class = self.settings.classes[event.class_index]
         plan = self.settings.plans[event.plan_index]
         gateway_count = int(clamp(event.gateway_count, 1, self.gateway_count))
@@ -108,22 +110,22 @@
         self.requests.add(request)
         return request
 
-    def record_answer(self, event: AttemptEnded, request: Request, node: Node, sent_at: float) -> None:
-        """Learn from an answer how long the node, and any node, takes for a unit."""
-        gap_s = min(1.0, self.now - node.answered_at)
-        node.record_answer(sent_at, request.units, self.now)
-        self.nodes.learn_unit_time(event.elapsed_s / request.units)
-        gain = max(FAST_GAIN, gap_s / 2)
+    def record_served(self, event: AttemptEnded, request: Request, node: Node, sent_at: float) -> None:
+        """Update the times of the node and the mean over all nodes by the response of a served attempt."""
+        since_last_s = min(1.0, self.now - node.last_served_at)
+        node.record_served(sent_at, request.units, self.now)
+        self.nodes.update_unit_time(event.elapsed_s / request.units)
+        gain = max(RESPONSE_GAIN, since_last_s / 2)
         max_units = self.settings.max_request_units
-        node.learn_times(event.elapsed_s, request.units, self.nodes.unit_time_s, gain, max_units)
+        node.update_times(event.elapsed_s, request.units, self.nodes.unit_time_s, gain, max_units)
 
     def record_attempt_ended(self, request: Request, event: AttemptEnded) -> Attempt:
-        """Free the slot of an attempt that has ended, and take in what its node reports."""
+        """Free the slot of an attempt that has ended, and record its outcome and what its node reports."""
         self.counters[event.outcome.value] += 1
         attempt = request.end_attempt(event.attempt)
         self.nodes.mark_ready(attempt.node.shard)
         if event.outcome is AttemptOutcome.SERVED:
-            self.volumes.learn_other_usage(request, attempt.node, event.units_elsewhere, self.now)
+            self.volumes.update_other_usage(request, attempt.node, event.units_elsewhere, self.now)
         else:
             self.failures_by_node[attempt.node.node_id] += 1
             request.return_reserved_units()
@@ -132,19 +134,19 @@
         return attempt
 
     def count_rejected(self, request: Request, reason: RejectReason) -> None:
-        """Count a request that is shed, by the reason and by whether it was inside its reservation."""
+        """Count a request that is shed, by the reason and by whether it is within its reservation."""
         part = "reserved" if request.is_reserved else "excess"
         self.counters[f"rejected_{reason}_{part}"] += 1
 
     def count_demand(self, request: Request, since: float) -> None:
-        """Add the time that the request was queued or in flight to the demand of its class at its node."""
+        """Add the seconds since arrival, or ``since`` if later, to the demand of the class at its node."""
         owner = self.nodes.owners.get(request.shard)
         if owner and not request.is_over:
             owner.class_demand[request.class_index] += self.now - max(since, request.arrived_at)
 
     def record_sent(self, request: Request, node: Node, reserved: bool) -> None:
-        """Note that an attempt goes to the node now."""
-        if not request.slow_start_admitted:  # its demand has not been counted for a warming node
+        """Record an attempt that is sent to the node now."""
+        if not request.slow_start_admitted:  # otherwise the slow start has counted its demand
             self.demand.add(request.shard, request.units, reserved, self.now)
         if request.attempts_sent and self.settings.safety.retry_budget_window_s is not None:
             self.retried.add(self.now)
@@ -153,25 +155,29 @@
         request.begin_attempt(node, self.now)
 
     def close(self, request: Request, served: bool) -> None:
-        """Note that the request is over."""
-        self.count_demand(request, self.round_at)
+        """Record the end of a request."""
+        self.count_demand(request, self.last_round_at)
         request.is_over = True
         self.classes[request.class_index].record_finished(self.now - request.arrived_at)
-        self.requests.leave_queue(request)
+        self.requests.dequeue(request)
         if not served:
-            self.requests.remember_failed_try(request, self.now)
+            self.requests.remember_failed_request(request, self.now)
 
-    def end_round(self, began_at: float) -> None:
-        """Learn the shards' rates of the control round that ends now, and begin the next with empty sums."""
-        self.nodes.learn_shard_rates(self.now - began_at, min(IDLE_MEMORY_S, self.now - self.started_at))
+    def end_round(self, round_started_at: float) -> None:
+        """End the control round: update the rates of the shards, reset the sums, and drop unused records."""
+        self.nodes.update_shard_rates(
+            self.now - round_started_at, min(IDLE_MEMORY_S, self.now - self.started_at)
+        )
         for estimate in self.classes:
             estimate.begin_round()
         self._forget_unused()
 
     def _forget_unused(self) -> None:
-        """Drop what no longer matters, so that a long life does not fill the memory."""
-        objective = max(request_class.latency_objective_s for request_class in self.settings.classes)
-        oldest = self.now - objective - 1
+        """Drop records that are no longer needed, so that memory use stays bounded."""
+        longest_objective_s = max(
+            request_class.latency_objective_s for request_class in self.settings.classes
+        )
+        oldest = self.now - longest_objective_s - 1
         unused_since = self.now - IDLE_MEMORY_S
         self.nodes.forget_unused(unused_since, self.volumes.by_id)
         self.volumes.forget_unused(unused_since, oldest)
--- a/storage_gateway/policy_state/status.py
+++ b/storage_gateway/policy_state/status.py
@@ -1,4 +1,4 @@
-"""The policy's part of the periodic status line."""
+"""The fields of the policy in the periodic status line."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def take_status_fields(state: PolicyState) -> dict[str, object]:
-    """Return counts since the last call, and the present state of the nodes; the counts begin anew."""
+    """Return the counters since the last call and the present state of the nodes; reset the counters."""
     counters = dict(sorted(state.counters.items()))
     failures = state.failures_by_node.most_common(REPORTED_FAILING_NODES)
     state.counters = Counter()
--- a/storage_gateway/policy_state/timer_queue.py
+++ b/storage_gateway/policy_state/timer_queue.py
@@ -1,4 +1,4 @@
-"""The timer queue: what to check, and when."""
+"""The timer queue: subjects to check, ordered by time."""
 
 from __future__ import annotations
 
@@ -12,30 +12,30 @@
 
 
 @dataclass(slots=True, frozen=True)
-class WatchDue:
-    """The endpoint list is to be asked for."""
+class EndpointWatchDue:
+    """The endpoint watch has to be requested."""
 
 
-Subject = Request | Node | WatchDue
+Subject = Request | Node | EndpointWatchDue
 
 
 class TimerQueue:
-    """Requests, nodes and the endpoint watch by the time at which they are to be checked."""
+    """Requests, nodes and the endpoint watch, by the time at which to check them."""
 
     def __init__(self) -> None:
         self.heap: list[tuple[float, int, Subject]] = []
-        self._sequence = count(1)  # entries of one time keep their order
+        self._sequence = count(1)  # entries with the same time keep their order
 
     def add(self, due_at: float, subject: Subject) -> None:
-        """Have the subject checked at this time."""
+        """Add a subject to check at this time."""
         heappush(self.heap, (due_at, next(self._sequence), subject))
 
     def next_at(self) -> float:
-        """Return when the earliest entry is due, infinite for none. Entries of requests that are over go."""
+        """Return when the earliest entry is due, infinite for none; drop those of requests that are over."""
         while self.heap and isinstance(self.heap[0][2], Request) and self.heap[0][2].is_over:
             heappop(self.heap)
         return self.heap[0][0] if self.heap else math.inf
 
     def pop(self) -> Subject:
-        """Take out the earliest entry."""
+        """Remove the earliest entry and return its subject."""
         return heappop(self.heap)[2]
--- a/storage_gateway/policy_state/volume.py
+++ b/storage_gateway/policy_state/volume.py
@@ -10,21 +10,21 @@
 
 
 class UsageReport(NamedTuple):
-    """Use of a volume through other instances at one shard: mean units a second, and when it was told."""
+    """Usage of a volume at a shard through other instances: mean units a second, and time of the report."""
 
     rate: float
-    told_at: float
+    reported_at: float
 
 
 @dataclass(slots=True, eq=False)
 class Volume:
-    """This instance's part of a volume's reservation and rate limit.
+    """This instance's share of a volume's reservation and rate limit.
 
     Attributes:
-        reservation: tokens of the reserved rate.
-        rate_limit: tokens of the rate limit.
-        other_usage: use through other instances, by shard, as the nodes report it.
-        reserved_units: units of the requests of each second of arrival that are still inside the reservation.
+        reservation: token bucket of the reserved rate.
+        rate_limit: token bucket of the rate limit.
+        other_usage: usage through other instances that nodes have reported, by shard.
+        reserved_units: reserved units that no attempt has drawn yet, by second of arrival of their requests.
     """
 
     reservation: TokenBucket
@@ -33,7 +33,7 @@
     reserved_units: defaultdict[int, float] = field(default_factory=lambda: defaultdict(float))
 
     def draw_reservation(self, units: float, second: int) -> None:
-        """Count the units that the reservation has, of a request that arrives in this second, as reserved."""
+        """Reserve as many units as the reservation has left, for a request that arrives in this second."""
         reserved = min(self.reservation.level, units)
         self.reservation.level -= reserved
         self.reserved_units[second] += reserved
--- a/storage_gateway/policy_state/volume_table.py
+++ b/storage_gateway/policy_state/volume_table.py
@@ -1,4 +1,4 @@
-"""The volumes lately used, and their use through other gateway instances."""
+"""The recently used volumes, and their usage through other gateway instances."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from storage_gateway.policy_state.volume import UsageReport, Volume
 
 OTHER_USAGE_SPAN_S = 1.0
-"""Seconds over which the use of a volume through other instances is averaged."""
+"""Seconds over which the usage of a volume through other instances is averaged."""
 
 
 class VolumeTable:
@@ -20,15 +20,15 @@
     def __init__(self, settings: Settings) -> None:
         self.by_id: dict[int, Volume] = {}
         self._max_units = settings.max_request_units
-        self._others_report = settings.nodes_report_other_usage
+        self._nodes_report_other_usage = settings.nodes_report_other_usage
 
     def refill(self, volume_id: int, plan: Plan, gateway_count: int, now: float, started_at: float) -> Volume:
-        """Return the volume, its reservation refilled by this instance's part of the reserved rate.
+        """Return the volume, its reservation refilled by this instance's share of the reserved rate.
 
-        A volume that was not used lately has a full reservation; its rate limit fills from this instance's
-        start.
+        A volume that was not used recently has a full reservation. Its rate limit has been filling since the
+        start of this instance.
         """
-        rate = self.reserved_rate_here(volume_id, plan.reserved_rate, gateway_count)
+        rate = self.local_reserved_rate(volume_id, plan.reserved_rate, gateway_count)
         capacity = rate + self._max_units if rate else 0.0
         volume = self.by_id.get(volume_id)
         if volume is None:
@@ -37,35 +37,35 @@
         volume.reservation.refill(rate, capacity, now)
         return volume
 
-    def reserved_rate_here(self, volume_id: int, reserved_rate: float, gateway_count: int) -> float:
-        """Estimate this instance's part of a reservation: an even one, or what the others leave of theirs.
+    def local_reserved_rate(self, volume_id: int, reserved_rate: float, gateway_count: int) -> float:
+        """Estimate this instance's share of a reservation: an equal one, or what the others leave if more.
 
-        Guards against reservations unmet where a volume uses its instances unevenly. Harms for a moment where
-        the lead changes, as two instances then spend the same part.
+        With equal shares only, a volume that uses its instances unevenly would not get its reservation. The
+        cost: when most of its requests move to another instance, both spend the same share for a moment.
         """
-        even = reserved_rate / gateway_count
+        equal_share = reserved_rate / gateway_count
         volume = self.by_id.get(volume_id)
-        if not self._others_report or volume is None or not volume.other_usage:
-            return even
-        return max(even, reserved_rate - sum(usage.rate for usage in volume.other_usage.values()))
+        if not self._nodes_report_other_usage or volume is None or not volume.other_usage:
+            return equal_share
+        return max(equal_share, reserved_rate - sum(usage.rate for usage in volume.other_usage.values()))
 
-    def learn_other_usage(self, request: Request, node: Node, units: float, now: float) -> None:
-        """Take in what a node served the volume through other instances since its last answer about it.
+    def update_other_usage(self, request: Request, node: Node, units: float, now: float) -> None:
+        """Update the usage by the units a node has served through other instances since its last report.
 
-        Until more is known, the other instances are taken to use all of their parts of the reservation.
+        Without a report, the other instances are assumed to use their full equal shares of the reservation.
         """
         reported = request.volume.other_usage
         expected = request.plan.reserved_rate * (1 - 1 / request.gateway_count)
-        rate, told_at = reported.get(node.shard, (expected, now))
-        span = now - told_at
-        if span > 0:
-            seen = 1 - math.exp(-span / OTHER_USAGE_SPAN_S)
-            rate += seen * (units / span - rate)
-        if span > 0 or node.shard not in reported:
+        rate, reported_at = reported.get(node.shard, (expected, now))
+        span_s = now - reported_at
+        if span_s > 0:
+            gain = 1 - math.exp(-span_s / OTHER_USAGE_SPAN_S)
+            rate += gain * (units / span_s - rate)
+        if span_s > 0 or node.shard not in reported:
             reported[node.shard] = UsageReport(rate, now)
 
     def forget_unused(self, unused_since: float, oldest_arrival: float) -> None:
-        """Drop volumes without a request since, and the reserved units of older seconds."""
+        """Drop volumes without a request after ``unused_since``, and reserved units of older arrivals."""
         self.by_id = {
             volume_id: volume
             for volume_id, volume in self.by_id.items()
--- a/tests/policy/test_attempt_rules.py
+++ b/tests/policy/test_attempt_rules.py
@@ -1,4 +1,4 @@
-"""Order by key and the retry budget."""
+"""Tests of the order by key and the retry budget."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 ORDERED = make_request_class(ordered_by_key=True)
 
 
-def test_one_key_runs_one_at_a_time_in_order() -> None:
+def test_requests_of_one_key_run_one_at_a_time_in_order() -> None:
     driver = PolicyDriver(make_settings([ORDERED, ORDERED]), [make_endpoint_entry(1, 1)])
     driver.step(
         driver.arrival("a", object_key=5),
@@ -49,7 +49,7 @@
     assert driver.sent() == ["a", "b"]
 
 
-def test_further_attempts_stay_within_the_budget() -> None:
+def test_retries_stay_within_the_retry_budget() -> None:
     budget = {"retry_budget_base": 1.0, "retry_budget_ratio": 0.0, "retry_budget_window_s": 1.0}
     driver = PolicyDriver(
         make_settings([make_request_class(latency_objective_s=2.0)], safety=budget),
@@ -63,7 +63,7 @@
     assert driver.sent() == ["a", "b", "a", "b"]
 
 
-def test_the_budget_grows_with_the_requests_accepted() -> None:
+def test_retry_budget_grows_with_accepted_requests() -> None:
     budget = {"retry_budget_base": 0.0, "retry_budget_ratio": 0.5, "retry_budget_window_s": 1.0}
     driver = PolicyDriver(
         make_settings([make_request_class(latency_objective_s=2.0)], safety=budget),
--- a/tests/policy/test_concurrency.py
+++ b/tests/policy/test_concurrency.py
@@ -1,4 +1,4 @@
-"""The control loop's three layers, with figures worked by hand."""
+"""Tests of the control round, with expected values computed by hand."""
 
 from __future__ import annotations
 
@@ -15,47 +15,47 @@
 )
 
 
-def total(driver: PolicyDriver) -> float:
+def total_slots(driver: PolicyDriver) -> float:
     return sum(node.concurrency_limit for node in driver.policy.state.nodes.owners.values())
 
 
 def arbitrate_classes(
     bounds: list[float],
-    asks: list[float],
+    requested_bounds: list[float],
     performance: list[float],
     share_slopes: list[float | None],
     weights: list[float],
 ) -> list[float]:
-    """Arbitrate between classes of these estimates."""
+    """Return the bounds of classes with these estimates."""
     classes = []
     for index, weight in enumerate(weights):
         estimate = ClassEstimate(make_request_class(priority_weight=weight), bounds[index])
-        estimate.ask = asks[index]
+        estimate.requested_bound = requested_bounds[index]
         estimate.performance = performance[index]
         estimate.share_slope = share_slopes[index]
         classes.append(estimate)
     return arbitrate(classes)
 
 
-def test_asks_that_fit_are_granted_and_rest_goes_by_weight() -> None:
+def test_requested_bounds_that_fit_are_granted_and_remainder_goes_by_weight() -> None:
     assert arbitrate_classes([0.4, 0.4], [0.35, 0.35], [1, 1], [None, None], [2, 1]) == pytest.approx(
         [0.55, 0.45]
     )
 
 
-def test_asks_exactly_at_the_cap_are_granted_as_they_are() -> None:
+def test_requested_bounds_exactly_at_the_total_are_granted() -> None:
     assert arbitrate_classes([0.5, 0.5], [0.45, 0.55], [1, 1], [1.0, 1.0], [2, 1]) == pytest.approx(
         [0.45, 0.55]
     )
 
 
-def test_one_class_has_the_whole_cap() -> None:
+def test_single_class_gets_the_whole_total() -> None:
     assert arbitrate_classes([1.0], [1.05], [0.5], [0.5], [3]) == pytest.approx([1.0])
     assert arbitrate_classes([1.0], [0.95], [1.2], [0.5], [3]) == pytest.approx([1.0])
 
 
-def test_overload_evens_weight_times_shortfall() -> None:
-    # u = 0.5 + (0.4 - e/2)/10 and 0.5 + (0.4 - e)/10 sum to 1 at e = 8/15
+def test_overload_equalizes_weighted_shortfall() -> None:
+    # the bounds 0.5 + (0.4 - s/2)/10 and 0.5 + (0.4 - s)/10 sum up to 1 at a weighted shortfall s of 8/15
     bounds = arbitrate_classes([0.5, 0.5], [0.54, 0.54], [0.6, 0.6], [10.0, 10.0], [2, 1])
     assert bounds == pytest.approx([0.5 + 0.4 / 30, 0.5 - 0.4 / 30], abs=1e-6)
     shortfall = [1 - 0.6 - 10 * (bound - 0.5) for bound in bounds]
@@ -67,39 +67,39 @@
     assert bounds == pytest.approx([0.55, 0.45])
 
 
-def test_bounds_far_under_the_cap_rise_by_the_step_only() -> None:
-    # min(1, sum(c + l)) is 0.9 here
+def test_bounds_far_below_the_total_rise_by_one_step() -> None:
+    # both bounds raised by the step sum up to 0.9 only
     assert arbitrate_classes([0.4, 0.4], [0.6, 0.6], [0.5, 0.5], [1.0, 1.0], [1, 1]) == pytest.approx(
         [0.45, 0.45]
     )
 
 
-def test_class_without_slope_keeps_its_ask_in_overload_while_the_others_give() -> None:
+def test_class_without_slope_gets_its_requested_bound_in_overload() -> None:
     assert arbitrate_classes([0.5, 0.5], [0.52, 0.55], [0.5, 0.5], [None, 1.0], [1, 1]) == pytest.approx(
         [0.52, 0.48]
     )
 
 
-def test_no_answers_in_an_interval_keep_the_ask() -> None:
+def test_requested_bound_stays_without_finished_requests() -> None:
     driver = PolicyDriver(
         make_settings([make_request_class(), make_request_class()]), [make_endpoint_entry(1, 1)]
     )
     classes = driver.policy.state.classes
-    classes[0].ask = 0.3
-    classes[1].ask = 0.4
+    classes[0].requested_bound = 0.3
+    classes[1].requested_bound = 0.4
     driver.run_until(driver.now + 2.5)
-    assert [estimate.ask for estimate in classes] == [0.3, 0.4]
+    assert [estimate.requested_bound for estimate in classes] == [0.3, 0.4]
 
 
-def test_ask_moves_at_most_a_step_towards_the_objective() -> None:
+def test_requested_bound_moves_by_at_most_one_step() -> None:
     driver = PolicyDriver(make_settings(), [make_endpoint_entry(1, 1)])
     policy = driver.policy
     total = policy.state.nodes.by_id[1].concurrency_limit
     (estimate,) = policy.state.classes
     estimate.history = [(total * 0.9, 0.10), (total * 0.95, 0.11)]
-    estimate.record_finished(4.0)  # performance 0.125, still rising with the bound
+    estimate.record_finished(4.0)  # performance 0.125, which rises with the bound
     policy.concurrency.run_round()
-    assert estimate.ask == pytest.approx(1.05)
+    assert estimate.requested_bound == pytest.approx(1.05)
 
 
 def test_zero_demand_splits_evenly_over_listed_nodes() -> None:
@@ -110,7 +110,7 @@
     assert [node.class_slots[0] for node in driver.nodes.values()] == [3, 3, 3]
 
 
-def test_split_follows_demand_rounded_up_with_a_floor_of_one() -> None:
+def test_split_follows_demand_rounded_up_with_at_least_one_slot() -> None:
     driver = PolicyDriver(
         make_settings(), [make_endpoint_entry(1, 1), make_endpoint_entry(2, 2), make_endpoint_entry(3, 3)]
     )
@@ -122,17 +122,17 @@
 
 def test_leaving_and_joining_nodes_change_the_total_and_the_split() -> None:
     driver = PolicyDriver(make_settings(), [make_endpoint_entry(1, 1), make_endpoint_entry(2, 2)])
-    assert total(driver) == 8.0  # the default of eight a node, halved between two instances
+    assert total_slots(driver) == 8.0  # the limit of 8 slots a node, shared by two instances
     driver.step(
         api.EndpointsChanged(
             api.EndpointUpdateKind.DELTA, [make_endpoint_entry(2, 2, api.EndpointState.REMOVED)]
         )
     )
-    assert total(driver) == 4.0
+    assert total_slots(driver) == 4.0
     driver.policy.concurrency.split(0, 4.0)
     assert driver.nodes[1].class_slots == [4]
     driver.step(api.EndpointsChanged(api.EndpointUpdateKind.DELTA, [make_endpoint_entry(3, 2)]))
-    assert total(driver) == 8.0
+    assert total_slots(driver) == 8.0
     driver.policy.concurrency.split(0, 8.0)
     assert driver.nodes[3].class_slots == [4]
 
--- a/tests/policy/test_endpoint_updates.py
+++ b/tests/policy/test_endpoint_updates.py
@@ -1,4 +1,4 @@
-"""What the policy does as the endpoint list changes."""
+"""Tests of updates to the endpoint list."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize("state", [api.EndpointState.DRAINING, api.EndpointState.REMOVED])
-def test_nothing_to_a_node_that_drains_or_is_gone(state: api.EndpointState) -> None:
+def test_draining_or_removed_node_gets_no_requests(state: api.EndpointState) -> None:
     driver = PolicyDriver(make_settings(), [make_endpoint_entry(1, 1)])
     driver.step(api.EndpointsChanged(api.EndpointUpdateKind.DELTA, [make_endpoint_entry(1, 1, state)]))
     driver.submit("a")
@@ -23,7 +23,7 @@
     assert driver.sent() == []
 
 
-def test_nothing_to_a_node_absent_from_a_full_list() -> None:
+def test_node_absent_from_a_snapshot_gets_no_requests() -> None:
     driver = PolicyDriver(make_settings(), [make_endpoint_entry(1, 1), make_endpoint_entry(2, 2)])
     driver.step(api.EndpointsChanged(api.EndpointUpdateKind.SNAPSHOT, [make_endpoint_entry(2, 2)]))
     driver.submit("a")
@@ -31,7 +31,7 @@
     assert driver.sent() == []
 
 
-def test_the_endpoint_list_is_watched_and_asked_for_again_after_a_failure() -> None:
+def test_endpoint_watch_is_requested_again_after_a_failure() -> None:
     driver = PolicyDriver(
         make_settings(must_watch_endpoints=True, safety={"endpoint_poll_interval_s": 8.0}),
         [make_endpoint_entry(1, 1)],
@@ -44,7 +44,7 @@
     assert driver.run_until(105.1) == [api.WatchEndpoints()]
 
 
-def test_a_node_without_a_shard_takes_new_objects_only() -> None:
+def test_node_without_a_shard_takes_only_requests_that_create_objects() -> None:
     driver = PolicyDriver(make_settings(), [make_endpoint_entry(1, -1)])
     driver.step(driver.arrival("new", shard=-1), driver.arrival("old", shard=5))
     assert driver.sent() == ["new"]
@@ -52,7 +52,7 @@
     assert read_entry({"Shelf": 3, "StageState": "live"}).shard == -1
 
 
-def test_a_node_listed_twice_stands_as_named_last() -> None:
+def test_last_entry_of_a_node_listed_twice_applies() -> None:
     driver = PolicyDriver(
         make_settings(), [make_endpoint_entry(1, 1), make_endpoint_entry(1, 1, api.EndpointState.DRAINING)]
     )
--- a/tests/policy/test_node_health.py
+++ b/tests/policy/test_node_health.py
@@ -1,4 +1,4 @@
-"""What the results of attempts say of a node."""
+"""Tests of the concurrency limit, the excess rate and the backoff of nodes."""
 
 from __future__ import annotations
 
@@ -12,31 +12,31 @@
 )
 
 
-def test_concurrency_limit_rises_while_answers_are_short_and_falls_while_long() -> None:
+def test_concurrency_limit_rises_with_short_and_falls_with_long_response_times() -> None:
     driver = PolicyDriver(make_settings(), [make_endpoint_entry(1, 1)])
     node = driver.nodes[1]
-    for spent, limit, rounds in ((0.02, 8.0, 60), (0.9, 1.0, 20)):
+    for response_time_s, limit, rounds in ((0.02, 8.0, 60), (0.9, 1.0, 20)):
         for number in range(rounds):
             driver.now += 1.0
             node.excess_rate = 1e6
-            driver.step(*[driver.arrival(f"{spent}-{number}-{extra}") for extra in range(8)])
-            for request in [name for name, request in driver.requests.items() if request.in_flight]:
-                driver.end_attempt(request, api.AttemptOutcome.SERVED, elapsed_s=spent)
+            driver.step(*[driver.arrival(f"{response_time_s}-{number}-{slot}") for slot in range(8)])
+            for request_id in [name for name, request in driver.requests.items() if request.in_flight]:
+                driver.end_attempt(request_id, api.AttemptOutcome.SERVED, elapsed_s=response_time_s)
         assert node.concurrency_limit == limit
 
 
-def test_excess_rate_falls_with_long_answers_at_one_slot_and_recovers_with_short_ones() -> None:
+def test_excess_rate_falls_with_long_response_times_at_one_slot_and_recovers() -> None:
     driver = PolicyDriver(make_settings(gateway_count=8), [make_endpoint_entry(1, 1)])
     node = driver.nodes[1]
     node.excess_rate = 64.0
-    spares = [node.excess_rate]
-    for number, spent in enumerate([0.02] + [0.9] * 3 + [0.02] * 12):
+    excess_rates = [node.excess_rate]
+    for number, response_time_s in enumerate([0.02] + [0.9] * 3 + [0.02] * 12):
         driver.now += 1.0
         driver.submit(f"r{number}", volume_id=number)
-        driver.end_attempt(f"r{number}", api.AttemptOutcome.SERVED, elapsed_s=spent)
-        spares.append(node.excess_rate)
-    assert min(spares[2:]) < max(spares) / 4
-    assert spares[-1] > max(spares) / 2
+        driver.end_attempt(f"r{number}", api.AttemptOutcome.SERVED, elapsed_s=response_time_s)
+        excess_rates.append(node.excess_rate)
+    assert min(excess_rates[2:]) < max(excess_rates) / 4
+    assert excess_rates[-1] > max(excess_rates) / 2
 
 
 def test_a_short_client_timeout_is_no_failure_of_the_node() -> None:
@@ -53,28 +53,28 @@
     assert driver.nodes[1].concurrency_limit == limit / 2
 
 
-def test_an_instance_of_many_nodes_learns_its_excess_rate_from_all_of_them() -> None:
-    def wait(seconds_each: float) -> float:
-        """Return how long a volume waits to send again to a node that has never answered this instance."""
+def test_excess_rate_of_a_silent_node_follows_the_responses_of_all_nodes() -> None:
+    def excess_wait_s(response_time_s: float) -> float:
+        """Return how long a volume has to wait to send again to a node that has never responded."""
         shards = range(1, 61)
         driver = PolicyDriver(
             make_settings(plans=[make_plan(reserved_rate=0.0)], gateway_count=40),
             [make_endpoint_entry(shard, shard) for shard in shards],
         )
-        for shard in shards[:-1]:  # each node answers once: a tenth of a second of this instance's life each
+        for shard in shards[:-1]:  # each node responds once, in steps of 0.1 s
             driver.submit(f"r{shard}", shard=shard, volume_id=shard)
             driver.run_until(driver.now + 0.1)
             driver.end_attempt(
                 f"r{shard}",
                 api.AttemptOutcome.SERVED,
                 node=shard,
-                elapsed_s=seconds_each if shard > 1 else 0.02,
+                elapsed_s=response_time_s if shard > 1 else 0.02,
             )
         driver.submit("first", shard=60, units=2000.0)
         request, node = driver.requests["first"], driver.nodes[60]
         return driver.policy.admission.excess_ready_at(request, node) - driver.now
 
-    assert wait(0.02) < wait(0.9) / 30
+    assert excess_wait_s(0.02) < excess_wait_s(0.9) / 30
 
 
 def test_backoff_grows_with_failures_in_a_row() -> None:
@@ -83,21 +83,21 @@
     for _ in range(6):
         driver.end_attempt("a", AttemptOutcome.CONNECT_FAILED)
         driver.run_until(driver.now + 1.0)
-    tries = len(driver.sent())
+    attempts_sent = len(driver.sent())
     driver.end_attempt("a", AttemptOutcome.CONNECT_FAILED)
     driver.run_until(driver.now + 0.45)
-    assert len(driver.sent()) == tries
+    assert len(driver.sent()) == attempts_sent
 
 
-def test_failures_in_a_row_count_as_time_waited_and_a_lost_answer_does_not() -> None:
+def test_successive_failures_raise_the_queueing_delay_and_a_lost_response_does_not() -> None:
     driver = PolicyDriver(make_settings(), [make_endpoint_entry(1, 1)])
     node = driver.nodes[1]
-    queued = []
+    queueing_delays = []
     for number in range(3):
         driver.submit(f"r{number}")
         driver.now += 0.6
         driver.end_attempt(f"r{number}", AttemptOutcome.CANCELLED, elapsed_s=0.6)
-        queued.append(node.queueing_delay_s)
-    assert queued[0] == driver.policy.health.queueing_objective_s / 2
-    assert queued[1] > 2 * queued[0]
-    assert queued[2] > queued[1]
+        queueing_delays.append(node.queueing_delay_s)
+    assert queueing_delays[0] == driver.policy.health.queueing_objective_s / 2
+    assert queueing_delays[1] > 2 * queueing_delays[0]
+    assert queueing_delays[2] > queueing_delays[1]
--- a/tests/policy/test_odd_input.py
+++ b/tests/policy/test_odd_input.py
@@ -1,4 +1,4 @@
-"""Legal but odd input: each has a defined effect, and none raises."""
+"""Tests of valid but unusual input: each has a defined effect, and none raises."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize("gateway_count", [0, 1])
-def test_no_instance_counts_as_one(gateway_count: int) -> None:
+def test_gateway_count_of_zero_counts_as_one(gateway_count: int) -> None:
     driver = PolicyDriver(
         make_settings(gateway_count=gateway_count), [make_endpoint_entry(1, 1, started_at=99.9)]
     )
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize("gateway_count", [0, -1, 99])
-def test_a_volume_has_between_one_and_all_instances(gateway_count: int) -> None:
+def test_gateway_count_of_a_volume_is_limited_to_one_and_all_instances(gateway_count: int) -> None:
     driver = PolicyDriver(make_settings(gateway_count=4), [make_endpoint_entry(1, 1)])
     driver.submit("a", gateway_count=gateway_count)
     assert driver.requests["a"].gateway_count == (4 if gateway_count == 99 else 1)
@@ -43,33 +43,33 @@
     assert not driver.requests
 
 
-def test_an_outcome_for_an_unknown_attempt_changes_nothing() -> None:
+def test_outcome_of_an_unknown_attempt_is_ignored() -> None:
     driver = PolicyDriver(make_settings(), [make_endpoint_entry(1, 1)])
     driver.submit("a")
-    odd = api.AttemptEnded("a", 7, 1, AttemptOutcome.ERROR, 0.1, False)
-    assert driver.step(odd, replace(odd, request_id="never")) == []
+    unknown_attempt = api.AttemptEnded("a", 7, 1, AttemptOutcome.ERROR, 0.1, False)
+    assert driver.step(unknown_attempt, replace(unknown_attempt, request_id="never")) == []
     driver.end_attempt("a", AttemptOutcome.SERVED)
     assert not driver.requests
 
 
-def test_what_can_earn_nothing_is_not_sent_but_answered() -> None:
-    config = make_settings(
+def test_request_without_any_value_is_rejected_unsent() -> None:
+    settings = make_settings(
         [make_request_class(late_value=0.0)], [make_plan(reserved_rate=0.0)], excess_value=0.0
     )
-    driver = PolicyDriver(config, [make_endpoint_entry(1, 1)])
+    driver = PolicyDriver(settings, [make_endpoint_entry(1, 1)])
     assert driver.submit("a") == [api.RejectRequest("a")]
 
 
-def test_absent_and_null_settings_mean_no_such_figure() -> None:
-    lane = {"AimS": 0.5, "Worth": 1.0, "Repeat": "repeatable", "Later": 3}
-    facts = {
-        "Lanes": [lane],
+def test_absent_and_null_settings_mean_no_such_limit() -> None:
+    request_class = {"AimS": 0.5, "Worth": 1.0, "Repeat": "repeatable", "Later": 3}
+    wire_settings = {
+        "Lanes": [request_class],
         "Contracts": [{"WorthFactor": 1.0, "Proportion": 1.0, "Limit": None}],
         "Safety": None,
         "PolicyLimits": {"SendCap": 3, "Cancel": None},
         "New": {},
     }
-    driver = PolicyDriver(read_settings(facts, 1), [make_endpoint_entry(1, 1, started_at=99.0)])
+    driver = PolicyDriver(read_settings(wire_settings, 1), [make_endpoint_entry(1, 1, started_at=99.0)])
     driver.submit("a")
     driver.run_until(102.0)
     assert [action for action in driver.actions if isinstance(action, api.RejectRequest)] == [
--- a/tests/policy/test_random_events.py
+++ b/tests/policy/test_random_events.py
@@ -1,4 +1,4 @@
-"""Random event sequences against nodes that fail in every way; all seven rules are checked from outside."""
+"""Tests with random events and all kinds of failures; the seven rules are checked by the actions alone."""
 
 from __future__ import annotations
 
@@ -46,8 +46,8 @@
 SHARDS = 3
 
 
-class World:
-    """Plays clients, nodes and discovery, and keeps its own books of what the rules allow."""
+class SimulatedDeployment:
+    """Simulates clients, nodes and discovery, and records what the rules need to be checked."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -60,8 +60,8 @@
         self.state = dict.fromkeys(range(SHARDS), EndpointState.SERVING)
         self.started_at = dict.fromkeys(range(SHARDS), 0.0)
         self.arrivals: dict[str, api.RequestArrived] = {}
-        self.unanswered: set[str] = set()
-        self.in_flight: dict[str, tuple[int, int, float, float]] = {}  # attempt, node, sent, ends
+        self.open_requests: set[str] = set()
+        self.in_flight: dict[str, tuple[int, int, float, float]] = {}  # attempt, node, sent at, ends at
         self.attempt_counts: dict[str, int] = defaultdict(int)
         self.possible_executions: dict[str, tuple[float, int]] = {}
         self.key_queues: dict[int, list[str]] = defaultdict(list)
@@ -70,9 +70,9 @@
         self.retried_at: list[float] = []
         self.sent_to_node: dict[int, list[tuple[float, float]]] = defaultdict(list)
         self.limit_draws: dict[int, list[tuple[float, float]]] = defaultdict(list)
-        self.unit_time_s = math.inf  # the least that the driver has taken a unit's service for
+        self.unit_time_s = math.inf  # least service time for a unit that the policy has estimated
 
-    def kind(self, name: str) -> api.RequestClass:
+    def request_class(self, name: str) -> api.RequestClass:
         return CLASSES[self.arrivals[name].class_index]
 
     def arrive(self) -> api.Event:
@@ -90,9 +90,9 @@
             gateway_count=2,
         )
         self.arrivals[event.request_id] = event
-        self.unanswered.add(event.request_id)
+        self.open_requests.add(event.request_id)
         self.accepted_at.append(now)
-        if self.kind(event.request_id).ordered_by_key and event.object_key is not None:
+        if self.request_class(event.request_id).ordered_by_key and event.object_key is not None:
             self.key_queues[event.object_key].append(event.request_id)
         return event
 
@@ -101,24 +101,24 @@
         if outcome not in NEVER_EXECUTED and outcome is not AttemptOutcome.SERVED:
             self.possible_executions.setdefault(name, (sent, node))
         if outcome is AttemptOutcome.SERVED:
-            self.unanswered.discard(name)
+            self.open_requests.discard(name)
         key = self.arrivals[name].object_key
-        unsure = outcome in (
+        may_be_executed = outcome in (
             AttemptOutcome.TIMEOUT,
             AttemptOutcome.CONNECTION_RESET,
             AttemptOutcome.CANCELLED,
         )
-        if unsure and self.kind(name).ordered_by_key and key is not None:
+        if may_be_executed and self.request_class(name).ordered_by_key and key is not None:
             self.key_ready_at[key] = self.driver.now + self.safety.key_cooldown_s
         self.leave_key_queue(name)
         return api.AttemptEnded(
-            name, attempt, node, outcome, self.driver.now - sent, name not in self.unanswered
+            name, attempt, node, outcome, self.driver.now - sent, name not in self.open_requests
         )
 
     def leave_key_queue(self, name: str) -> None:
         key = self.arrivals[name].object_key
-        over = name not in self.unanswered and name not in self.in_flight
-        if over and key is not None and name in self.key_queues[key]:
+        is_over = name not in self.open_requests and name not in self.in_flight
+        if is_over and key is not None and name in self.key_queues[key]:
             self.key_queues[key].remove(name)
 
     def change_endpoints(self) -> api.Event:
@@ -140,139 +140,148 @@
         events: list[api.Event] = [api.TimerFired(0)]
         if rng.random() < 0.05:
             events.append(self.change_endpoints())
-        for name, (_, _, _, ends) in list(self.in_flight.items()):
+        for name, (_, _, _, ends_at) in list(self.in_flight.items()):
             if driver.now >= self.arrivals[name].deadline:
                 events.append(self.finish(name, AttemptOutcome.TIMEOUT))
-            elif driver.now >= ends:
-                bad = rng.random() < 0.4
+            elif driver.now >= ends_at:
+                fails = rng.random() < 0.4
                 events.append(
-                    self.finish(name, rng.choice(list(AttemptOutcome)) if bad else AttemptOutcome.SERVED)
+                    self.finish(name, rng.choice(list(AttemptOutcome)) if fails else AttemptOutcome.SERVED)
                 )
-        ended = {event.request_id for event in events if isinstance(event, api.AttemptEnded)}
-        if (there := sorted(self.unanswered - ended)) and rng.random() < 0.03:
-            name = rng.choice(there)
-            self.unanswered.discard(name)
+        ended_requests = {event.request_id for event in events if isinstance(event, api.AttemptEnded)}
+        if (cancellable := sorted(self.open_requests - ended_requests)) and rng.random() < 0.03:
+            name = rng.choice(cancellable)
+            self.open_requests.discard(name)
             self.leave_key_queue(name)
             events.append(api.ClientCancelled(name))
         events += [self.arrive() for _ in range(rng.choice([0, 0, 1, 3]))]
         checker = RuleChecker(self)
         for action in driver.step(*events):
             checker.check(action)
-        late = [
+        overdue = [
             name
-            for name in self.unanswered
+            for name in self.open_requests
             if self.arrivals[name].deadline < driver.now and name not in self.in_flight
         ]
-        assert not late, f"no final answer in time: {late}"
+        assert not overdue, f"requests past their deadline without a final response: {overdue}"
 
 
 class RuleChecker:
-    """Checks each action of the policy against what the world has seen."""
+    """Checks each action of the policy against the records of the deployment."""
 
-    def __init__(self, world: World) -> None:
-        self.world = world
+    def __init__(self, deployment: SimulatedDeployment) -> None:
+        self.deployment = deployment
 
     def check(self, action: api.Action) -> None:
-        now = self.world.driver.now
+        now = self.deployment.driver.now
         if isinstance(action, api.SendAttempt):
             self.check_send(action.request_id, action.node, now)
         elif isinstance(action, api.RejectRequest | api.FailRequest):
             name = action.request_id
-            assert name in self.world.unanswered, "one final answer"
-            assert name not in self.world.in_flight, "one final answer"
-            if isinstance(action, api.RejectRequest) and name in self.world.possible_executions:
-                kind = self.world.kind(name)
-                assert kind.repeatability is Repeatability.REPEATABLE or (
-                    kind.repeatability is Repeatability.IDEMPOTENT_WITH_KEY
-                    and kind.idempotency_scope is IdempotencyScope.ALL
+            assert name in self.deployment.open_requests, "more than one final response"
+            assert name not in self.deployment.in_flight, "more than one final response"
+            if isinstance(action, api.RejectRequest) and name in self.deployment.possible_executions:
+                request_class = self.deployment.request_class(name)
+                assert request_class.repeatability is Repeatability.REPEATABLE or (
+                    request_class.repeatability is Repeatability.IDEMPOTENT_WITH_KEY
+                    and request_class.idempotency_scope is IdempotencyScope.ALL
                 )
-            self.world.unanswered.discard(name)
-            self.world.leave_key_queue(name)
+            self.deployment.open_requests.discard(name)
+            self.deployment.leave_key_queue(name)
 
     def check_send(self, name: str, node: int, now: float) -> None:
-        arrival, kind = self.world.arrivals[name], self.world.kind(name)
-        self.world.unit_time_s = min(
-            self.world.unit_time_s, self.world.driver.policy.state.nodes.unit_time_s or math.inf
+        arrival, request_class = self.deployment.arrivals[name], self.deployment.request_class(name)
+        self.deployment.unit_time_s = min(
+            self.deployment.unit_time_s, self.deployment.driver.policy.state.nodes.unit_time_s or math.inf
         )
-        assert name in self.world.unanswered, "the request is over"
-        assert name not in self.world.in_flight, "two attempts at once"
-        assert self.world.attempt_counts[name] < self.world.config.max_attempts
-        assert arrival.shard in (-1, node), "another shard"
-        assert self.world.state[node] is EndpointState.SERVING, "drains"
+        assert name in self.deployment.open_requests, "attempt of a request that is over"
+        assert name not in self.deployment.in_flight, "two attempts of a request at once"
+        assert self.deployment.attempt_counts[name] < self.deployment.config.max_attempts
+        assert arrival.shard in (-1, node), "node does not own the shard"
+        assert self.deployment.state[node] is EndpointState.SERVING, "node is draining or removed"
         self.check_effect(name, node, now)
-        if kind.ordered_by_key and arrival.object_key is not None:
-            assert self.world.key_queues[arrival.object_key][0] == name, "order by key"
-            assert now >= self.world.key_ready_at[arrival.object_key], "order by key"
-        if self.world.attempt_counts[name]:
+        if request_class.ordered_by_key and arrival.object_key is not None:
+            assert self.deployment.key_queues[arrival.object_key][0] == name, (
+                "not the oldest request of its key"
+            )
+            assert now >= self.deployment.key_ready_at[arrival.object_key], "key cooldown"
+        if self.deployment.attempt_counts[name]:
             self.check_retry_budget(now)
         else:
             self.check_rate_limit(arrival, now)
-        self.world.sent_to_node[node].append((now, arrival.units))
+        self.deployment.sent_to_node[node].append((now, arrival.units))
         self.check_slow_start(node, now)
-        ends = now + self.world.rng.choice([0.01, 0.05, 0.2, 1.0, 9.0])
-        self.world.in_flight[name] = (self.world.attempt_counts[name], node, now, ends)
-        self.world.attempt_counts[name] += 1
+        ends_at = now + self.deployment.rng.choice([0.01, 0.05, 0.2, 1.0, 9.0])
+        self.deployment.in_flight[name] = (self.deployment.attempt_counts[name], node, now, ends_at)
+        self.deployment.attempt_counts[name] += 1
 
     def check_effect(self, name: str, node: int, now: float) -> None:
-        if name not in self.world.possible_executions:
+        if name not in self.deployment.possible_executions:
             return
-        kind = self.world.kind(name)
-        sent, first_node = self.world.possible_executions[name]
-        assert kind.repeatability is not Repeatability.NON_IDEMPOTENT, "doubled effect"
-        if kind.repeatability is Repeatability.IDEMPOTENT_WITH_KEY:
-            assert now <= sent + kind.idempotency_window_s
-            assert kind.idempotency_scope is IdempotencyScope.ALL or node == first_node
+        request_class = self.deployment.request_class(name)
+        sent, first_node = self.deployment.possible_executions[name]
+        assert request_class.repeatability is not Repeatability.NON_IDEMPOTENT, "possible second execution"
+        if request_class.repeatability is Repeatability.IDEMPOTENT_WITH_KEY:
+            assert now <= sent + request_class.idempotency_window_s
+            assert request_class.idempotency_scope is IdempotencyScope.ALL or node == first_node
 
     def check_retry_budget(self, now: float) -> None:
-        window = self.world.safety.retry_budget_window_s
-        base = self.world.safety.retry_budget_base
-        ratio = self.world.safety.retry_budget_ratio
+        window = self.deployment.safety.retry_budget_window_s
+        base = self.deployment.safety.retry_budget_base
+        ratio = self.deployment.safety.retry_budget_ratio
         assert window is not None
         assert base is not None
         assert ratio is not None
-        self.world.retried_at.append(now)
-        recent = sum(time > now - window for time in self.world.accepted_at)
-        used = sum(time > now - window for time in self.world.retried_at)
+        self.deployment.retried_at.append(now)
+        recent = sum(time > now - window for time in self.deployment.accepted_at)
+        used = sum(time > now - window for time in self.deployment.retried_at)
         assert used <= base + ratio * recent, "retry budget"
 
     def check_rate_limit(self, arrival: api.RequestArrived, now: float) -> None:
-        limited = PLANS[arrival.plan_index]
-        if not limited.rate_limit:
+        plan = PLANS[arrival.plan_index]
+        if not plan.rate_limit:
             return
-        draws = self.world.limit_draws[arrival.volume_id]
+        draws = self.deployment.limit_draws[arrival.volume_id]
         draws.append((now, arrival.units))
         for index, (start, _) in enumerate(draws):
             drawn = sum(units for _, units in draws[index:])
-            allowed = (limited.rate_limit_burst + limited.rate_limit * (now - start)) / 2
+            allowed = (plan.rate_limit_burst + plan.rate_limit * (now - start)) / 2
             assert drawn <= allowed + 1e-6, "rate limit"
 
     def check_slow_start(self, node: int, now: float) -> None:
-        safety = self.world.safety
-        if not self.world.started_at[node] or now - self.world.started_at[node] >= safety.slow_start_window_s:
+        safety = self.deployment.safety
+        if (
+            not self.deployment.started_at[node]
+            or now - self.deployment.started_at[node] >= safety.slow_start_window_s
+        ):
             return
         window = safety.overload_window_s
-        sent = sum(units for time, units in self.world.sent_to_node[node] if time > now - window)
-        usual = self.world.driver.policy.state.nodes.shard_rates.get(node, 0.0) * safety.overload_multiple
-        cores = 2 * safety.overload_multiple / self.world.unit_time_s * window
-        even = max(self.world.config.slow_start_units, cores) / self.world.config.gateway_count
-        own = max(even, usual * window) + self.world.config.max_request_units
-        assert sent <= own + 1e-6, "slow start"
+        sent = sum(units for time, units in self.deployment.sent_to_node[node] if time > now - window)
+        usual_rate = (
+            self.deployment.driver.policy.state.nodes.shard_rates.get(node, 0.0) * safety.overload_multiple
+        )
+        core_units = 2 * safety.overload_multiple / self.deployment.unit_time_s * window
+        equal_share = (
+            max(self.deployment.config.slow_start_units, core_units) / self.deployment.config.gateway_count
+        )
+        allowed = max(equal_share, usual_rate * window) + self.deployment.config.max_request_units
+        assert sent <= allowed + 1e-6, "slow start"
 
 
 @settings(max_examples=40, derandomize=True, deadline=None, database=None)
 @given(st.integers(min_value=0, max_value=2**32))
 def test_rules_hold_over_random_events(seed: int) -> None:
-    world = World(seed)
+    deployment = SimulatedDeployment(seed)
     for _ in range(400):
-        world.step()
-    assert world.attempt_counts, "the sequence sent something"
+        deployment.step()
+    assert deployment.attempt_counts, "no attempt was sent"
 
 
-def test_same_events_same_actions() -> None:
+def test_same_events_lead_to_same_actions() -> None:
     logs = []
     for _ in range(2):
-        world = World(3)
+        deployment = SimulatedDeployment(3)
         for _ in range(300):
-            world.step()
-        logs.append(world.driver.actions)
+            deployment.step()
+        logs.append(deployment.driver.actions)
     assert logs[0] == logs[1]
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -1,11 +1,11 @@
-"""Idempotency, order by key, the retry budget, and attempts that take too long."""
+"""Tests of idempotency and attempt timeouts."""
 
 from __future__ import annotations
 
 import pytest
 
 from storage_gateway import policy_api as api
-from storage_gateway.policy.retries import LOST_ANSWER_SHARE
+from storage_gateway.policy.retries import LOST_RESPONSE_SHARE
 from storage_gateway.policy_api import AttemptOutcome, IdempotencyScope, Repeatability
 from tests.support.policy import (
     PolicyDriver,
@@ -21,19 +21,20 @@
 ORDERED = make_request_class(ordered_by_key=True)
 
 
-def answers(actions: list[api.Action], request: str) -> list[type]:
-    finals = (api.RejectRequest, api.FailRequest)
-    return [type(action) for action in actions if isinstance(action, finals) and action.request_id == request]
+def final_responses(actions: list[api.Action], name: str) -> list[type]:
+    """Return the types of the actions that give this request its final response."""
+    types = (api.RejectRequest, api.FailRequest)
+    return [type(action) for action in actions if isinstance(action, types) and action.request_id == name]
 
 
-def test_timeout_at_the_deadline_is_answered_in_the_same_batch() -> None:
+def test_timeout_at_the_deadline_fails_the_request_in_the_same_step() -> None:
     driver = PolicyDriver(make_settings([NON_IDEMPOTENT]), [make_endpoint_entry(1, 1)])
     driver.submit("a")
     driver.now += 2.0
-    assert answers(driver.end_attempt("a", AttemptOutcome.TIMEOUT), "a") == [api.FailRequest]
+    assert final_responses(driver.end_attempt("a", AttemptOutcome.TIMEOUT), "a") == [api.FailRequest]
 
 
-def test_a_late_outcome_after_the_client_left_is_not_answered_again() -> None:
+def test_outcome_after_the_client_cancelled_gets_no_response() -> None:
     driver = PolicyDriver(make_settings(), [make_endpoint_entry(1, 1)])
     driver.submit("a")
     assert driver.step(api.ClientCancelled("a")) == [api.CancelAttempt("a", 0)]
@@ -57,7 +58,7 @@
     assert driver.run_until(driver.now + 0.3) == [api.CancelAttempt("slow", 0)]
 
 
-def test_no_non_idempotent_attempt_is_cancelled_on_time_alone() -> None:
+def test_non_idempotent_attempt_is_not_cancelled_by_a_timeout_alone() -> None:
     driver = PolicyDriver(make_settings([NON_IDEMPOTENT]), [make_endpoint_entry(1, 1)])
     driver.submit("a")
     assert driver.run_until(driver.now + 1.9) == []
@@ -69,12 +70,12 @@
 def test_a_non_idempotent_request_that_may_have_been_executed_fails(outcome: AttemptOutcome) -> None:
     driver = PolicyDriver(make_settings([NON_IDEMPOTENT]), [make_endpoint_entry(1, 1)])
     driver.submit("a")
-    assert answers(driver.end_attempt("a", outcome), "a") == [api.FailRequest]
+    assert final_responses(driver.end_attempt("a", outcome), "a") == [api.FailRequest]
     driver.run_until(103.0)
     assert driver.sent() == ["a"]
 
 
-def test_a_non_idempotent_request_rejected_unseen_is_tried_again() -> None:
+def test_non_idempotent_request_is_retried_after_a_rejection() -> None:
     driver = PolicyDriver(make_settings([NON_IDEMPOTENT]), [make_endpoint_entry(1, 1)])
     driver.submit("a")
     driver.end_attempt("a", AttemptOutcome.REJECTED)
@@ -82,13 +83,13 @@
     assert driver.sent() == ["a", "a"]
 
 
-def test_a_repeatable_request_is_tried_again_up_to_the_maximum_of_attempts() -> None:
+def test_repeatable_request_is_retried_up_to_the_maximum_of_attempts() -> None:
     driver = PolicyDriver(make_settings(), [make_endpoint_entry(1, 1)])
     driver.submit("a", deadline=130.0)
     for _ in range(3):
         assert driver.requests["a"].in_flight
-        last = driver.end_attempt("a", AttemptOutcome.ERROR)
-    assert answers(last, "a") == [api.RejectRequest]
+        actions = driver.end_attempt("a", AttemptOutcome.ERROR)
+    assert final_responses(actions, "a") == [api.RejectRequest]
     assert driver.sent() == ["a"] * 3
 
 
@@ -103,7 +104,7 @@
 
 
 def test_a_keyed_request_stays_in_its_zone_or_shard() -> None:
-    for scope, fresh in ((IdempotencyScope.ZONE, 3), (IdempotencyScope.SHARD, 1)):
+    for scope, retry_node in ((IdempotencyScope.ZONE, 3), (IdempotencyScope.SHARD, 1)):
         keyed = make_request_class(
             latency_objective_s=2.0, repeatability=Repeatability.IDEMPOTENT_WITH_KEY, idempotency_scope=scope
         )
@@ -119,7 +120,7 @@
         driver.nodes[1].backoff_until = 110.0 if scope is IdempotencyScope.ZONE else 101.0
         driver.end_attempt("a", AttemptOutcome.CONNECTION_RESET)
         driver.run_until(101.2)
-        assert driver.actions[-1] == api.SendAttempt("a", fresh)
+        assert driver.actions[-1] == api.SendAttempt("a", retry_node)
 
 
 def test_never_two_attempts_at_once() -> None:
@@ -129,11 +130,12 @@
     assert driver.sent() == ["a"]
 
 
-def driver_with_lost_answer(repeat: api.Repeatability) -> PolicyDriver:
-    """``a`` is in flight at a node that has answered ``b``, which was sent later."""
+def driver_with_lost_response(class_repeatability: api.Repeatability) -> PolicyDriver:
+    """Return a driver with ``a`` in flight at a node that has served ``b``, which was sent later."""
     driver = PolicyDriver(
         make_settings(
-            [make_request_class(repeatability=repeat)], [make_plan(expected_rate=80.0, reserved_rate=80.0)]
+            [make_request_class(repeatability=class_repeatability)],
+            [make_plan(expected_rate=80.0, reserved_rate=80.0)],
         ),
         [make_endpoint_entry(1, 1)],
     )
@@ -145,18 +147,18 @@
     return driver
 
 
-def test_a_read_whose_answer_is_lost_is_cancelled_in_time_for_another_attempt() -> None:
-    driver = driver_with_lost_answer(api.Repeatability.REPEATABLE)
+def test_read_with_a_lost_response_is_cancelled_in_time_for_a_retry() -> None:
+    driver = driver_with_lost_response(api.Repeatability.REPEATABLE)
     limit = driver.nodes[1].concurrency_limit
-    assert api.CancelAttempt("a", 0) in driver.step(at=driver.now + LOST_ANSWER_SHARE * 0.5)
+    assert api.CancelAttempt("a", 0) in driver.step(at=driver.now + LOST_RESPONSE_SHARE * 0.5)
     driver.end_attempt("a", AttemptOutcome.CANCELLED, elapsed_s=0.5)
-    assert driver.nodes[1].concurrency_limit == limit, "a lost answer is no failure of its node"
+    assert driver.nodes[1].concurrency_limit == limit, "a lost response is no failure of its node"
     assert driver.actions[-1] == api.SendAttempt("a", 1)
 
 
-def test_a_write_whose_answer_is_lost_gives_its_slot_back_past_its_objective_and_is_not_sent_again() -> None:
-    driver = driver_with_lost_answer(api.Repeatability.NON_IDEMPOTENT)
-    assert driver.step(at=driver.now + LOST_ANSWER_SHARE * 0.5) == []
+def test_write_with_a_lost_response_frees_its_slot_after_its_objective_and_is_not_retried() -> None:
+    driver = driver_with_lost_response(api.Repeatability.NON_IDEMPOTENT)
+    assert driver.step(at=driver.now + LOST_RESPONSE_SHARE * 0.5) == []
     assert api.CancelAttempt("a", 0) in driver.step(at=driver.now + 0.5)
     driver.end_attempt("a", AttemptOutcome.CANCELLED, elapsed_s=0.8)
     assert driver.actions[-1] == api.FailRequest("a")
--- a/tests/policy/test_scheduling.py
+++ b/tests/policy/test_scheduling.py
@@ -1,4 +1,4 @@
-"""Which queued request goes to which node, and when."""
+"""Tests of which queued request is sent to which node."""
 
 from __future__ import annotations
 
@@ -21,10 +21,11 @@
 
 
 def test_a_class_within_its_split_goes_before_a_borrower() -> None:
-    unreserved = [make_plan(reserved_rate=0.0)]
+    unreserved_plans = [make_plan(reserved_rate=0.0)]
     driver = PolicyDriver(
         make_settings(
-            [make_request_class(priority_weight=9.0), make_request_class(priority_weight=1.0)], unreserved
+            [make_request_class(priority_weight=9.0), make_request_class(priority_weight=1.0)],
+            unreserved_plans,
         ),
         [make_endpoint_entry(1, 1)],
     )
@@ -34,14 +35,14 @@
     assert driver.sent() == ["a", "c"]
 
 
-def test_new_objects_go_where_they_are_answered_soonest() -> None:
+def test_requests_that_create_objects_go_to_the_node_with_the_shortest_wait() -> None:
     driver = PolicyDriver(make_settings(), [make_endpoint_entry(1, 1), make_endpoint_entry(2, 2)])
     driver.nodes[1].queueing_delay_s, driver.nodes[2].queueing_delay_s = 0.2, 0.05
     driver.step(driver.arrival("a", shard=-1), driver.arrival("b", shard=-1))
     assert [action.node for action in driver.actions if isinstance(action, api.SendAttempt)] == [2, 2]
 
 
-def test_requests_inside_the_reservation_go_before_dearer_ones_beyond_it() -> None:
+def test_reserved_requests_go_before_more_valuable_ones_beyond_the_reservation() -> None:
     driver = PolicyDriver(
         make_settings([make_request_class(priority_weight=2.0), make_request_class(priority_weight=3.0)]),
         [make_endpoint_entry(1, 1)],
@@ -50,12 +51,12 @@
     node.concurrency_limit, node.class_slots = 1.0, [1, 1]
     driver.submit("out")
     driver.volumes[1].reservation.level = 0.0
-    driver.step(driver.arrival("dear", class_index=1), driver.arrival("reserved", volume_id=2))
+    driver.step(driver.arrival("valuable", class_index=1), driver.arrival("reserved", volume_id=2))
     driver.end_attempt("out", api.AttemptOutcome.SERVED)
     assert driver.sent()[:2] == ["out", "reserved"]
 
 
-def test_late_requests_wait_for_those_that_can_still_be_in_time() -> None:
+def test_requests_that_can_meet_their_objective_go_before_late_ones() -> None:
     driver = PolicyDriver(make_settings(plans=[make_plan(reserved_rate=0.0)]), [make_endpoint_entry(1, 1)])
     driver.nodes[1].concurrency_limit = 1.0
     driver.submit("out")
@@ -66,14 +67,14 @@
     assert driver.sent()[:2] == ["out", "fresh"]
 
 
-def test_what_is_reserved_has_as_many_slots_again_and_no_more() -> None:
-    beyond = make_plan(reserved_rate=0.0)
+def test_reserved_requests_have_as_many_slots_again() -> None:
+    unreserved_plan = make_plan(reserved_rate=0.0)
     driver = PolicyDriver(
-        make_settings(plans=[beyond, make_plan()], gateway_count=8), [make_endpoint_entry(1, 1)]
+        make_settings(plans=[unreserved_plan, make_plan()], gateway_count=8), [make_endpoint_entry(1, 1)]
     )
     assert driver.nodes[1].concurrency_limit == 1.0
     driver.step(driver.arrival("long", volume_id=1), driver.arrival("more", volume_id=2))
-    assert driver.sent() == ["long"], "beyond the reservation the limit holds"
+    assert driver.sent() == ["long"], "beyond the reservation, the concurrency limit applies"
     driver.step(
         driver.arrival("reserved", volume_id=3, plan_index=1),
         driver.arrival("too many", volume_id=4, plan_index=1),
@@ -81,7 +82,7 @@
     assert driver.sent() == ["long", "reserved"]
 
 
-def test_what_could_not_be_answered_in_its_client_s_time_is_rejected_unsent() -> None:
+def test_request_that_would_miss_its_deadline_is_rejected_unsent() -> None:
     driver = PolicyDriver(make_settings(), [make_endpoint_entry(1, 1)])
     driver.nodes[1].queueing_delay_s = 0.1
     assert driver.submit("short", deadline=driver.now + 0.1) == [api.RejectRequest("short")]
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,11 +1,11 @@
-"""A warming node of a single instance: what it is sent."""
+"""Tests of what a single instance sends to a warming node."""
 
 from __future__ import annotations
 
 import math
 
 from storage_gateway import policy_api as api
-from storage_gateway.policy.slow_start import SAFE_SHARE
+from storage_gateway.policy.slow_start import SAFE_LOAD_SHARE
 from tests.support.policy import (
     PolicyDriver,
     make_endpoint_entry,
@@ -17,14 +17,14 @@
 UNITS = 2.0
 
 
-WARMING = 99  # the shard and the node that start anew
+WARMING = 99  # shard and node that have just started
 
 
 START = 200.0
 
 
 def units_sent(driver: PolicyDriver, seconds: float, units: float = 2.0) -> float:
-    """Units sent to node 1 while there is always more than it withstands; each is answered at once."""
+    """Return the units sent to node 1 under overload; each attempt is served at once."""
     start, end = len(driver.sent()), driver.now + seconds
     while driver.now < end:
         driver.step(driver.arrival(f"at{driver.now:.2f}", units=units), at=driver.now + 0.02)
@@ -32,8 +32,8 @@
     return units * (len(driver.sent()) - start)
 
 
-def test_many_instances_together_give_a_warming_node_no_more_than_the_stated_units() -> None:
-    """No driver has an even part as large as a request; none knows a rate of its own there."""
+def test_many_instances_together_send_a_warming_node_at_most_slow_start_units() -> None:
+    """An equal share is smaller than a request, and no instance has a measured rate for the shard."""
     total = 0.0
     for seed in range(60):
         driver = PolicyDriver(
@@ -41,53 +41,53 @@
             [make_endpoint_entry(1, 1, started_at=99.9)],
         )
         total += units_sent(driver, 1.0)
-    assert 0.0 < total <= 24.0  # 12 in a second are withstood in any case; chance counts
+    assert 0.0 < total <= 24.0  # 12 units a second are permitted in any case, and admission is random
 
 
-def test_a_warming_node_gets_an_instance_s_own_usual_rate_and_soon_again() -> None:
+def test_warming_node_gets_a_share_of_the_usual_rate_that_grows_to_the_whole() -> None:
     driver = PolicyDriver(make_settings(safety={"slow_start_window_s": 10.0}), [make_endpoint_entry(1, 1)])
-    usual = units_sent(driver, 20.0) / 20
+    usual_rate = units_sent(driver, 20.0) / 20
     driver.step(
         api.EndpointsChanged(api.EndpointUpdateKind.DELTA, [make_endpoint_entry(1, 1, started_at=driver.now)])
     )
-    assert 0.0 < units_sent(driver, 1.0) <= usual * 0.2 * 2.0 + 2.0 * 2
+    assert 0.0 < units_sent(driver, 1.0) <= usual_rate * 0.2 * 2.0 + 2.0 * 2
     driver.now += 9.0
-    assert units_sent(driver, 1.0) > usual * 0.8
+    assert units_sent(driver, 1.0) > usual_rate * 0.8
 
 
-def test_a_restart_in_the_list_makes_a_node_warm_up_again() -> None:
-    """Two units a second are withstood in any case, one of them from here; more than that goes by chance."""
-    sent, together = 0, 0
+def test_restart_in_the_endpoint_list_begins_a_slow_start() -> None:
+    """Two units a second are permitted in any case, one of them for this instance; admission is random."""
+    sent, both_sent_count = 0, 0
     for seed in range(40):
         driver = PolicyDriver(make_settings(slow_start_units=2.0, seed=seed), [make_endpoint_entry(1, 1)])
         driver.step(
             api.EndpointsChanged(api.EndpointUpdateKind.DELTA, [make_endpoint_entry(1, 1, started_at=99.5)])
         )
         driver.step(driver.arrival("a"), driver.arrival("b"))
-        together += driver.sent() == ["a", "b"]
+        both_sent_count += driver.sent() == ["a", "b"]
         for number in range(200):
             driver.submit(f"r{number}")
             driver.run_until(driver.now + 0.02)
-        sent += len(driver.sent())  # nothing is answered: no unit time is known
-    assert together <= 4
-    most = 40 * 4.5  # four seconds and half a second's part at the start
-    assert 40 * 2.0 < sent <= most + 2 * math.sqrt(most)
+        sent += len(driver.sent())  # no attempt ends, so that no service time is known
+    assert both_sent_count <= 4
+    most_units = 40 * 4.5  # 4 s, and half a second's tokens at the start
+    assert 40 * 2.0 < sent <= most_units + 2 * math.sqrt(most_units)
 
 
-def test_a_warm_node_is_not_held_back() -> None:
+def test_node_after_its_slow_start_is_not_limited() -> None:
     driver = PolicyDriver(make_settings(slow_start_units=2.0), [make_endpoint_entry(1, 1, started_at=89.0)])
     driver.step(driver.arrival("a"), driver.arrival("b"))
     assert driver.sent() == ["a", "b"]
 
 
-def test_an_instance_that_has_just_started_sends_a_warming_node_an_even_part_of_what_a_core_serves() -> None:
+def test_new_instance_sends_a_warming_node_its_share_of_what_a_core_serves() -> None:
     def units(gateway_count: int) -> float:
-        """Return what instances that never knew the node send it in nine seconds, in the mean."""
+        """Return the mean units that a new instance sends to the node in 9 s."""
         sent = 0
         for seed in range(20):
             plans = [
                 make_plan(reserved_rate=0.0, expected_rate=800.0)
-            ]  # so that its excess rate holds nothing back
+            ]  # so that the excess rate does not limit it
             config = make_settings(
                 [make_request_class(latency_objective_s=1.0)],
                 plans,
@@ -99,28 +99,29 @@
             driver.submit("known", shard=1)
             driver.end_attempt(
                 "known", api.AttemptOutcome.SERVED, node=1, elapsed_s=0.01
-            )  # a hundred units a second a core
+            )  # 100 units a second for each core
             driver.step(
                 api.EndpointsChanged(
                     api.EndpointUpdateKind.DELTA, [make_endpoint_entry(2, 2, started_at=driver.now)]
                 )
             )
-            began = driver.now
-            while driver.now < began + 9.0:
+            start_time = driver.now
+            while driver.now < start_time + 9.0:
                 driver.submit(f"r{driver.now:.2f}", shard=2, volume_id=2)
                 driver.run_until(driver.now + 0.1)
                 driver.end_all_attempts(0.01)
             sent += len(driver.sent()) - 1
         return sent / 20
 
-    # a window of 10 s from 0.2: 4.3 s at full capacity; twice that of 100 units a second for all instances
-    whole = SAFE_SHARE * 2 * 4.3 * 100 / 40
-    assert 0.8 * whole <= units(40) <= 1.2 * whole
+    # the first 9 s of a 10 s slow start from a share of 0.2 equal 4.3 s at full capacity, of which twice the
+    # 100 units a second are permitted to all instances
+    expected_units = SAFE_LOAD_SHARE * 2 * 4.3 * 100 / 40
+    assert 0.8 * expected_units <= units(40) <= 1.2 * expected_units
     assert units(400) <= units(40) / 4
 
 
-def test_what_is_inside_its_reservation_has_the_warming_node_s_part_first() -> None:
-    sent = {1: 0, 2: 0}  # by volume: one inside its reservation, one beyond any
+def test_reserved_requests_have_priority_at_a_warming_node() -> None:
+    sent = {1: 0, 2: 0}  # by volume: 1 has a reservation, 2 has none
     for seed in range(40):
         plans = [
             make_plan(reserved_rate=100.0, expected_rate=800.0),
@@ -148,7 +149,7 @@
     assert sent[1] > 3 * sent[2]
 
 
-def test_a_request_that_is_passed_over_is_shed_once_and_at_once() -> None:
+def test_request_that_is_not_admitted_is_shed_once_and_immediately() -> None:
     driver = PolicyDriver(
         make_settings(slow_start_units=1e-9, max_retry_after_s=0.5),
         [make_endpoint_entry(1, 1, started_at=99.9)],
