--- a/storage_gateway/policy_api/events.py
+++ b/storage_gateway/policy_api/events.py
@@ -13,13 +13,21 @@
     """How an attempt ended."""
 
     SERVED = "served"
+    """The node served the request."""
     ERROR = "error"
+    """The node responded with an error; it may have executed the request."""
     REJECTED = "rejected"
+    """The node rejected the request without executing it."""
     TIMEOUT = "timeout"
+    """The request's deadline passed without a response."""
     CONNECT_FAILED = "connect_failed"
+    """The connection failed before the whole request was sent."""
     CONNECTION_RESET = "connection_reset"
+    """The connection failed when the node may have executed the request."""
     CANCELLED = "cancelled"
+    """The attempt was cancelled; the node may have executed the request."""
     NOT_SENT = "not_sent"
+    """The attempt was given up before its first byte was sent."""
 
     @property
     def proves_no_execution(self) -> bool:
--- a/tests/policy/test_random_events.py
+++ b/tests/policy/test_random_events.py
@@ -63,13 +63,13 @@
         self.open_requests: set[str] = set()
         self.in_flight: dict[str, tuple[int, int, float, float]] = {}  # attempt, node, sent at, ends at
         self.attempt_counts: dict[str, int] = defaultdict(int)
-        self.possible_executions: dict[str, tuple[float, int]] = {}
+        self.possible_executions: dict[str, tuple[float, int]] = {}  # first attempt: sent at, node
         self.key_queues: dict[int, list[str]] = defaultdict(list)
         self.key_ready_at: dict[int, float] = defaultdict(float)
         self.accepted_at: list[float] = []
         self.retried_at: list[float] = []
-        self.sent_to_node: dict[int, list[tuple[float, float]]] = defaultdict(list)
-        self.limit_draws: dict[int, list[tuple[float, float]]] = defaultdict(list)
+        self.sent_to_node: dict[int, list[tuple[float, float]]] = defaultdict(list)  # time, units
+        self.limit_draws: dict[int, list[tuple[float, float]]] = defaultdict(list)  # time, units by volume
         self.unit_time_s = math.inf  # least service time for a unit that the policy has estimated
 
     def request_class(self, name: str) -> api.RequestClass:
