--- a/tests/support/http.py
+++ b/tests/support/http.py
@@ -35,6 +35,11 @@
 POLL_INTERVAL_S = 0.005
 
 
+def make_target(object_key: int) -> str:
+    """Return the target of a request for this object."""
+    return f"/api?block={object_key:016x}"
+
+
 def make_client_request(trace_id: str, method: str = "GET", body: bytes = b"") -> ClientRequest:
     """Return a request of two units as the server would decode it."""
     return ClientRequest(
