--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the storage gateway, in a folder for each part."""
+"""Tests of the storage gateway, one folder for each part."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,7 @@
-"""KNOWN-RED.txt: tests that fail for a known fault, one a line: test, cause, issue; three at most.
+"""KNOWN-RED.txt lists the tests that fail because of a known fault, one per line: test, cause, issue.
 
-Each of them has to fail: one that passes turns the run red, so that its line goes when the fault is mended.
+A listed test that passes fails the run, so that its line is removed once the fault is fixed. The list has at
+most ``MAX_KNOWN_RED`` lines.
 """
 
 from __future__ import annotations
@@ -14,7 +15,10 @@
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Expect each listed test to fail, and refuse a list that names a test which is not there."""
+    """Mark each listed test as a strict expected failure, and reject a list with an unknown test.
+
+    A test counts as unknown only if its file was collected in full.
+    """
     known_red = _read_known_red(config.rootpath / KNOWN_RED_FILE)
     collected_files = {_file_of(item.nodeid) for item in items}
     found = set()
@@ -29,13 +33,13 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
-    """Print the list at the end of each run."""
+    """Print the list of known failures at the end of each run."""
     for line in _read_known_red(config.rootpath / KNOWN_RED_FILE).values():
         terminalreporter.write_line(f"known red: {line}")
 
 
 def _read_known_red(path: Path) -> dict[str, str]:
-    """Return the lines of the list by the test that each names."""
+    """Return the lines of the list by test id; empty if there is no list."""
     if not path.exists():
         return {}
     lines = [line for line in path.read_text().splitlines() if line.strip()]
--- a/tests/endpoints/test_discovery.py
+++ b/tests/endpoints/test_discovery.py
@@ -32,8 +32,8 @@
     async def test_malformed_message_is_skipped_and_the_whole_list_applied(self) -> None:
         full_list = {"generation": 7, "reset": True, "instances": [discovery_entry("SERVING")]}
         change = {"generation": 8, "reset": False, "instances": [discovery_entry("DRAINING")]}
-        rounds = [[b"", b"{bad"], [b"", json.dumps(change).encode()]]
-        service = await FakeDiscovery(full_list, rounds).start()
+        watch_lines = [[b"", b"{bad"], [b"", json.dumps(change).encode()]]
+        service = await FakeDiscovery(full_list, watch_lines).start()
         registry = EndpointRegistry({})
         events = asyncio.Queue[api.Event]()
         client = DiscoveryClient(Address("127.0.0.1", service.port), registry, events.put_nowait)
@@ -62,7 +62,7 @@
         client.start()
         async with asyncio.timeout(5):
             await events.get()
-            await wait_until(lambda: len(old.asked) >= 2)  # the list, then the watch
+            await wait_until(lambda: len(old.targets) >= 2)  # the list, then the watch
             client.move(Address("127.0.0.1", unresponsive.sockets[0].getsockname()[1]))
             for writer in old.writers:  # the new address does not respond, so the old one is still used
                 writer.write(make_chunk(json.dumps(change).encode() + b"\n"))
@@ -70,9 +70,9 @@
             assert not registry.is_serving(1)
             client.move(Address("127.0.0.1", new.port))
             await events.get()
-            await wait_until(lambda: not old.open and len(new.asked) >= 2)
+            await wait_until(lambda: not old.open_connections and len(new.targets) >= 2)
         assert registry.endpoints[1].address.port == 10
-        assert new.asked == ["/discovery/hosts", "/discovery/hosts?watch=1&after=7"]
+        assert new.targets == ["/discovery/hosts", "/discovery/hosts?watch=1&after=7"]
         assert len(client.watches) == 1
         client.stop()
         for service in (old, new):
--- a/tests/endpoints/test_watch.py
+++ b/tests/endpoints/test_watch.py
@@ -14,15 +14,15 @@
 from storage_gateway.endpoints.registry import EndpointRegistry
 from tests.support.failing_discovery import (
     BusyDiscovery,
-    Reply,
+    Responder,
     ScriptedDiscovery,
-    cut_message,
     endless_list,
     indented_message,
     malformed_message,
     no_response,
     snapshot,
     trickling_message,
+    truncated_message,
     wait_until,
 )
 
@@ -33,9 +33,11 @@
 class EndpointWatchTest(unittest.IsolatedAsyncioTestCase):
     """Timeouts are a tenth of the real ones."""
 
-    async def record_targets(self, *replies: Reply, has_list: bool = False, count: int = 3) -> list[str]:
-        """Return the targets of the first calls to a discovery service that gives these replies."""
-        service = await ScriptedDiscovery(*replies).start()
+    async def record_targets(
+        self, *responders: Responder, has_list: bool = False, count: int = 3
+    ) -> list[str]:
+        """Return the targets of the first calls to a discovery service with these responders."""
+        service = await ScriptedDiscovery(*responders).start()
         self.addCleanup(service.stop)
         self.events = asyncio.Queue[api.Event]()
         client = DiscoveryClient(
@@ -59,7 +61,7 @@
         assert await self.record_targets(trickling_message, has_list=True) == [WATCH_TARGET] * 3
 
     async def test_truncated_message_is_not_applied_and_the_whole_list_is_fetched(self) -> None:
-        targets = await self.record_targets(cut_message, snapshot, no_response, has_list=True)
+        targets = await self.record_targets(truncated_message, snapshot, no_response, has_list=True)
         assert targets[:2] == [WATCH_TARGET, LIST_TARGET]
         event = await self.events.get()
         assert isinstance(event, api.EndpointsChanged)
@@ -95,7 +97,7 @@
         async with asyncio.timeout(5):
             await wait_until(lambda: client.watches[0].failures >= 2)
             service = ScriptedDiscovery(snapshot, no_response)
-            service.server = await asyncio.start_server(service.connected, address.host, address.port)
+            service.server = await asyncio.start_server(service.handle_connection, address.host, address.port)
             self.addCleanup(service.stop)
             await events.get()
 
--- a/tests/http/test_client_disconnect.py
+++ b/tests/http/test_client_disconnect.py
@@ -73,7 +73,7 @@
             client.close()
             await self.wait_until(lambda: any(isinstance(event, api.ClientCancelled) for event in events))
         assert self.executor.pending == {}
-        assert self.node.accepted == 0
+        assert self.node.accepted_connections == 0
 
     async def test_disconnect_in_the_loop_iteration_of_the_send_action_frees_the_slot(self) -> None:
         await self.start_server(respond_at_once)
--- a/tests/http/test_node_client.py
+++ b/tests/http/test_node_client.py
@@ -8,7 +8,7 @@
 from storage_gateway.lifecycle import AttemptResult
 from storage_gateway.policy_api import AttemptOutcome, EndpointState
 from tests.support.endpoints import apply_endpoints, make_endpoint
-from tests.support.http import NODE, HttpServerCase, make_client_request
+from tests.support.http import NODE_ID, HttpServerCase, make_client_request
 from tests.support.peers import respond_at_once
 
 
@@ -20,22 +20,22 @@
         draining = make_endpoint("s-a", self.node.port, EndpointState.DRAINING)
 
         with self.after_dial(lambda: apply_endpoints(self.registry, draining)):
-            result = await self.node_client.attempt(NODE, make_client_request("t"), lambda: 1.0)
+            result = await self.node_client.attempt(NODE_ID, make_client_request("t"), lambda: 1.0)
 
         assert result.outcome == AttemptOutcome.NOT_SENT
         assert self.node.counts["t"] == 0
 
     async def test_drain_closes_the_pool_and_a_refused_connection_is_a_connect_failure(self) -> None:
         await self.start_server(respond_at_once)
-        await self.node_client.attempt(NODE, make_client_request("t"), lambda: 1.0)
-        assert self.node.open == 1
+        await self.node_client.attempt(NODE_ID, make_client_request("t"), lambda: 1.0)
+        assert self.node.open_connections == 1
 
         apply_endpoints(self.registry, make_endpoint("s-a", self.node.port, EndpointState.DRAINING))
-        await self.wait_until(lambda: self.node.open == 0)
+        await self.wait_until(lambda: self.node.open_connections == 0)
 
         self.node.stop()
         apply_endpoints(self.registry, make_endpoint("s-a", self.node.port))
-        result = await self.node_client.attempt(NODE, make_client_request("t"), lambda: 1.0)
+        result = await self.node_client.attempt(NODE_ID, make_client_request("t"), lambda: 1.0)
         assert result.outcome == AttemptOutcome.CONNECT_FAILED
 
     async def test_connection_that_ends_right_after_opening_is_a_connect_failure(self) -> None:
@@ -43,7 +43,7 @@
 
         with self.patch_dial(lambda connection: connection.abort()):
             request = make_client_request("t", "PUT", b"scan")
-            result = await self.node_client.attempt(NODE, request, lambda: 1.0)
+            result = await self.node_client.attempt(NODE_ID, request, lambda: 1.0)
 
         assert result == AttemptResult(AttemptOutcome.CONNECT_FAILED)
         assert self.node.counts["t"] == 0
@@ -52,11 +52,11 @@
     async def test_connection_whose_attempt_has_no_time_left_is_pooled(self) -> None:
         await self.start_server(respond_at_once)
 
-        result = await self.node_client.attempt(NODE, mock.Mock(), lambda: 0.0)
+        result = await self.node_client.attempt(NODE_ID, mock.Mock(), lambda: 0.0)
 
         assert result == AttemptResult(api.AttemptOutcome.NOT_SENT)
         assert self.node_client.open_connections == 1
-        assert len(self.node_client.pools[NODE].idle) == 1
+        assert len(self.node_client.pools[NODE_ID].idle) == 1
 
     async def test_attempt_sends_the_time_left_after_a_slow_connect(self) -> None:
         await self.start_server(respond_at_once)
--- a/tests/http/test_request_codec.py
+++ b/tests/http/test_request_codec.py
@@ -42,7 +42,7 @@
         reader, writer = await self.open_stream(b"tea\r\n\r\n")
         assert b" 400 " in await reader.readline()
         writer.close()
-        assert self.node.accepted == 0
+        assert self.node.accepted_connections == 0
 
     async def test_requests_that_overlap_on_one_connection_reach_no_node(self) -> None:
         await self.start_server(never_respond)
@@ -59,7 +59,7 @@
             reader, writer = await self.open_stream(data)
             assert (await reader.read())[8:13] == b" 400 ", data[:200]
             writer.close()
-        assert self.node.accepted == 0
+        assert self.node.accepted_connections == 0
 
         # However slowly the event loop runs, the request stays at the node until the next one is read.
         self.server.config.client_timeouts_s[0] = 60.0
--- a/tests/http/test_response_parser.py
+++ b/tests/http/test_response_parser.py
@@ -7,7 +7,7 @@
 from storage_gateway.http import node_connection, pool
 from storage_gateway.lifecycle import AttemptResult
 from storage_gateway.policy_api import AttemptOutcome
-from tests.support.http import NODE, HttpServerCase, make_client_request
+from tests.support.http import NODE_ID, HttpServerCase, make_client_request
 from tests.support.peers import make_response
 
 OK_HEAD = b"HTTP/1.1 200 X\r\n"
@@ -47,11 +47,11 @@
         with mock.patch.object(node_connection, "INTER_READ_TIMEOUT_S", 0.05):
             for index, response in enumerate(invalid):
                 request = make_client_request(str(index), "PUT", b"scan")
-                result = await self.node_client.attempt(NODE, request, lambda: 1.0)
+                result = await self.node_client.attempt(NODE_ID, request, lambda: 1.0)
                 assert result == AttemptResult(AttemptOutcome.CONNECTION_RESET), response[:80]
 
         assert set(self.node.counts.values()) == {1}
-        assert self.node.accepted == len(invalid)
+        assert self.node.accepted_connections == len(invalid)
         assert self.node_client.open_connections == 0
 
     async def test_only_the_complete_response_is_served_whatever_comes_before_or_after_it(self) -> None:
@@ -72,7 +72,7 @@
         await self.start_server(respond)
         with mock.patch.object(pool, "REUSE_DELAY_S", 0.0):
             for index, response in enumerate(responses):
-                result = await self.node_client.attempt(NODE, make_client_request(str(index)), lambda: 1.0)
+                result = await self.node_client.attempt(NODE_ID, make_client_request(str(index)), lambda: 1.0)
                 body = b"tile" * 70_000 if response is large else b"tile"
                 assert result == AttemptResult(AttemptOutcome.SERVED, body)
                 is_reusable = index < len(reusable)
--- a/tests/http/test_server.py
+++ b/tests/http/test_server.py
@@ -7,7 +7,7 @@
 
 from storage_gateway.policy_api import EndpointState
 from tests.support.endpoints import apply_endpoints, make_endpoint
-from tests.support.http import NODE, TARGET, HttpServerCase
+from tests.support.http import NODE_ID, TARGET, HttpServerCase
 from tests.support.peers import make_response, never_respond, respond_at_once
 
 
@@ -33,13 +33,13 @@
 
         await self.start_server(respond)
         await self.send_request("warm")
-        self.node_client.pools[NODE].idle[0].reusable_at = 0.0
+        self.node_client.pools[NODE_ID].idle[0].reusable_at = 0.0
 
         status, _ = await self.send_request("broken", "PUT", b"scan")
 
         assert status == 502
         assert self.node.counts["broken"] == 1
-        assert self.node.accepted == 1, "the request must use the pooled connection"
+        assert self.node.accepted_connections == 1, "the request must use the pooled connection"
 
     async def test_write_that_the_node_rejected_unexecuted_is_retried(self) -> None:
         async def respond(trace_id: str) -> bytes:
@@ -70,13 +70,15 @@
         assert self.executor.now() - started_at < 2.0  # the node would never respond
         assert status == 502
         assert self.node.counts["t"] == 1
-        await self.wait_until(lambda: self.node.open == 0)  # the cancelled attempt's connection is closed
+        await self.wait_until(
+            lambda: self.node.open_connections == 0
+        )  # the cancelled attempt's connection is closed
 
     async def test_request_with_almost_no_time_left_is_rejected_without_an_attempt(self) -> None:
         await self.start_server(never_respond)
 
         assert (await self.send_request("t", "PUT", b"scan", {"X-Expires-In-Ms": "1"}))[0] == 503
-        assert self.node.accepted == 0
+        assert self.node.accepted_connections == 0
 
     async def test_client_timeout_is_capped_by_that_of_the_request_class(self) -> None:
         await self.start_server(never_respond)
@@ -94,7 +96,7 @@
 
         sending.cancel()
 
-        await self.wait_until(lambda: self.node.open == 0 and not self.executor.pending)
+        await self.wait_until(lambda: self.node.open_connections == 0 and not self.executor.pending)
         assert sum(node.in_flight_count for node in self.executor.policy.state.nodes.by_id.values()) == 0
 
     async def test_request_without_a_serving_node_is_rejected_at_once(self) -> None:
@@ -106,7 +108,7 @@
         assert (await self.send_request("t"))[0] == 503
 
         assert self.executor.now() - started_at < 1.4  # not queued until the deadline
-        assert self.node.accepted == 0
+        assert self.node.accepted_connections == 0
 
     async def test_trace_id_in_use_is_rejected_without_affecting_the_first_request(self) -> None:
         release = asyncio.Event()
--- a/tests/http/test_shutdown.py
+++ b/tests/http/test_shutdown.py
@@ -23,7 +23,7 @@
 
         async with asyncio.timeout(5):
             assert (await sending)[0] == 502  # the node may have executed it
-        await self.wait_until(lambda: self.node.open == 0 and not self.executor.pending)
+        await self.wait_until(lambda: self.node.open_connections == 0 and not self.executor.pending)
 
     async def test_request_that_is_queued_at_shutdown_is_rejected_and_not_sent(self) -> None:
         await self.start_server(never_respond)
@@ -36,7 +36,7 @@
 
             async with asyncio.timeout(5):
                 assert (await sending)[0] == 503
-        assert self.node.accepted == 0
+        assert self.node.accepted_connections == 0
 
     async def test_no_attempt_begins_after_the_response_deadline(self) -> None:
         await self.start_server(respond_at_once)
--- a/tests/project/__init__.py
+++ b/tests/project/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the project's own files: style, sizes, deploy file, README."""
+"""Tests of the project's own files: style, sizes, layers, external names, deploy file and README."""
--- a/tests/project/test_decisions.py
+++ b/tests/project/test_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions stay in ``policy/``: the deploy file lists its modules, and no other module creates an action."""
+"""Only ``policy/`` decides: the deploy file lists its modules, and no other module creates actions."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 def unlisted_modules(listed: Iterable[str], modules: Iterable[Path]) -> set[Path]:
-    """Return the modules that the ``policy`` key lacks, and the listed files that are no such modules."""
+    """Return the modules that are not listed, and the listed paths that are not modules."""
     return {ROOT / path for path in listed} ^ set(modules)
 
 
 def created_actions(source: str) -> list[str]:
-    """Return the actions that a module creates, under whichever name it imports them."""
+    """Return the actions that a module creates, also those imported under another name."""
     tree = ast.parse(source)
     imported = {
         alias.asname or alias.name: alias.name
@@ -73,7 +73,7 @@
     assert created_actions(matched) == []
 
 
-def test_other_modules_use_the_policy_by_its_entry_point_alone() -> None:
+def test_other_modules_import_only_the_policy_class() -> None:
     for path in PACKAGE.rglob("*.py"):
         if path.is_relative_to(POLICY):
             continue
--- a/tests/project/test_deploy.py
+++ b/tests/project/test_deploy.py
@@ -1,4 +1,4 @@
-"""The deploy file: a gateway is one process, and a build that was cut off is made anew."""
+"""The deploy file: its commands replace the shell, and its build replaces an incomplete environment."""
 
 import os
 import subprocess
@@ -9,7 +9,7 @@
 
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
 PRINT_PROCESS_ID = "#!/bin/sh\necho $$\n"
-MAKE_ENVIRONMENT = (
+CREATE_ENVIRONMENT = (
     "#!/bin/sh\nmkdir -p .venv/bin\nfor one in pip python; do "
     "printf '#!/bin/sh\\n' > .venv/bin/$one; chmod +x .venv/bin/$one; done\n"
 )
@@ -21,7 +21,7 @@
     path.chmod(0o755)
 
 
-def test_run_and_sim_end_in_the_shell_s_own_process(tmp_path: Path) -> None:
+def test_run_and_sim_replace_the_shell_process(tmp_path: Path) -> None:
     write_program(tmp_path / ".venv" / "bin" / "python", PRINT_PROCESS_ID)
     for key in ("run", "sim"):
         shell = subprocess.Popen(["/bin/sh", "-c", DEPLOY[key]], cwd=tmp_path, stdout=subprocess.PIPE)
@@ -29,12 +29,12 @@
         assert int(printed) == shell.pid, key
 
 
-def test_build_makes_a_half_made_environment_anew(tmp_path: Path) -> None:
-    """Stubs stand for Python and pip: an environment has both only when it was made whole."""
+def test_build_replaces_an_incomplete_environment(tmp_path: Path) -> None:
+    """An environment has both Python and pip only if it is complete; stubs stand for the two programs."""
     tools = tmp_path / "tools"
     environment = tmp_path / ".venv" / "bin"
-    write_program(tools / "python3", MAKE_ENVIRONMENT)
-    write_program(environment / "python3", MAKE_ENVIRONMENT)
+    write_program(tools / "python3", CREATE_ENVIRONMENT)
+    write_program(environment / "python3", CREATE_ENVIRONMENT)
     write_program(environment / "python", PRINT_PROCESS_ID)
     path = f"{tools}:{os.environ['PATH']}"
 
@@ -46,6 +46,6 @@
     assert (environment / "pip").exists()
 
 
-def test_the_files_that_it_names_are_there() -> None:
+def test_listed_files_exist() -> None:
     for path in [*DEPLOY["policy"], *DEPLOY["node"]]:
         assert (ROOT / path).exists(), path
--- a/tests/project/test_external_names.py
+++ b/tests/project/test_external_names.py
@@ -1,6 +1,6 @@
-"""The names that leave the process: wire fields, settings, log fields and constants of protocols.
+"""The names that leave the process: wire fields, settings, log fields and protocol constants.
 
-Clients, storage nodes, operators' tools and stored configuration rely on them. The test fails if a name of
+Clients, storage nodes, operators' tools and stored configuration depend on them. The test fails if a name of
 ``external_names.txt`` is missing from the file that its heading names.
 """
 
@@ -23,7 +23,13 @@
 
 
 class Section(NamedTuple):
-    """Names that one file holds."""
+    """Names that one file contains.
+
+    Attributes:
+        title: what the names are used for.
+        path: path of the file, relative to the project's root.
+        names: the names, letter for letter.
+    """
 
     title: str
     path: str
@@ -31,7 +37,7 @@
 
 
 def read_sections(text: str) -> list[Section]:
-    """Read the list: headings in brackets, one name a line; blank lines and comments are skipped."""
+    """Parse the list: headings in brackets and one name per line, without blank lines and comments."""
     sections: list[Section] = []
     for line in text.splitlines():
         if heading := HEADING.fullmatch(line):
@@ -49,10 +55,10 @@
 def names_in_python(text: str) -> set[str]:
     """Return the names that a module can send out of the process.
 
-    These are the texts of its literals, the keyword arguments of log calls, the fields of its classes as
+    These are its string and bytes literals, the keyword arguments of log calls, the fields of its classes as
     ``Class.field``, and its integer constants as ``NAME = value`` or ``Class.NAME = value``. Docstrings and
-    ``__all__`` do not count. A literal that holds several lines counts as each of them, without the colon and
-    blank that end the name of a header.
+    ``__all__`` are skipped. A literal of several lines counts as a whole and as each of its lines, without
+    the colon and space that end a header name.
     """
     tree = ast.parse(text)
     skipped = {id(part) for node in ast.walk(tree) if _is_skipped(node) for part in ast.walk(node)}
@@ -69,7 +75,7 @@
 
 
 def missing_names(section: Section, text: str) -> list[str]:
-    """Return the names of a section that the text of its file does not hold."""
+    """Return the names of a section that are missing from the text of its file."""
     found = names_in_toml(text) if section.path.endswith(".toml") else names_in_python(text)
     return [name for name in section.names if name not in found]
 
@@ -119,7 +125,7 @@
 
 
 def _is_skipped(node: ast.AST) -> bool:
-    """Return whether the node is a docstring or the list of a module's public names."""
+    """Return whether the node is a docstring or the assignment of ``__all__``."""
     if isinstance(node, ast.Assign):
         return any(isinstance(target, ast.Name) and target.id == "__all__" for target in node.targets)
     return isinstance(node, ast.Expr) and isinstance(node.value, ast.Constant)
--- a/tests/project/test_known_red.py
+++ b/tests/project/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failures: they alone may fail, and each of them has to."""
+"""The list of known failures: only the listed tests may fail, and each of them must."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
         ("a\nb\nc\nd\n", 4, "4 lines, 3 at most"),
     ],
 )
-def test_the_list_is_strict(tmp_path: Path, listed: str, exit_status: int, printed: str) -> None:
+def test_known_red_list_is_strict(tmp_path: Path, listed: str, exit_status: int, printed: str) -> None:
     (tmp_path / "test_it.py").write_text(TESTS)
     (tmp_path / "conftest.py").write_text((ROOT / "tests" / "conftest.py").read_text())
     (tmp_path / "KNOWN-RED.txt").write_text(listed)
--- a/tests/project/test_readme.py
+++ b/tests/project/test_readme.py
@@ -1,4 +1,4 @@
-"""The example in the README runs and sends its request."""
+"""The README: its example sends a request, and CI runs its test command."""
 
 import contextlib
 import io
--- a/tests/project/test_size.py
+++ b/tests/project/test_size.py
@@ -1,4 +1,4 @@
-"""Limits on the size of files, classes and functions, and names that may not come back."""
+"""Limits on the size of files, classes and functions, on formatter skips, and on names of constants."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.support.project import ROOT
 
 MAX_FILE_LINES = 300
-MAX_EXPLAINED_FILE_LINES = 400  # of a file whose module doc comment says why it is over the limit
+MAX_EXPLAINED_FILE_LINES = 400  # for a file whose module docstring explains its length
 MAX_EXPLAINED_FILES = 2
 MAX_CLASS_LINES = 200
 MAX_FUNCTION_LINES = 50
@@ -22,16 +22,21 @@
 
 @dataclass(frozen=True)
 class Definition:
-    """A class or function, with its lines, doc comment and decorators included."""
+    """A class or function.
+
+    Attributes:
+        name: path, line and name of the definition.
+        line_count: number of its lines, including the docstring and decorators.
+    """
 
     name: str
     line_count: int
 
 
-def test_files_are_short_or_say_why_not() -> None:
+def test_files_are_short_or_explain_their_length() -> None:
     line_counts = {_relative(path): len(path.read_text().splitlines()) for path in FILES}
     long_files = {name: count for name, count in line_counts.items() if count > MAX_FILE_LINES}
-    unexplained = {name: count for name, count in long_files.items() if not _says_why_it_is_long(name)}
+    unexplained = {name: count for name, count in long_files.items() if not _explains_its_length(name)}
 
     assert not unexplained, unexplained
     assert len(long_files) <= MAX_EXPLAINED_FILES, long_files
@@ -58,7 +63,7 @@
     assert not long_functions, long_functions
 
 
-def test_the_formatter_is_hardly_ever_skipped() -> None:
+def test_formatter_is_rarely_skipped() -> None:
     skips = [
         f"{_relative(path)}:{token.start[0]}"
         for path in FILES
@@ -70,24 +75,24 @@
 
 
 def test_limits_are_named_max_and_min() -> None:
-    withdrawn = [
+    forbidden_names = [
         f"{_relative(path)}:{token.start[0]}: {token.string}"
         for path in FILES
         for token in _list_tokens(path)
         if token.type == tokenize.NAME and re.match(r"_*(MOST|LEAST)_", token.string)
     ]
 
-    assert not withdrawn, "\n".join(withdrawn)
+    assert not forbidden_names, "\n".join(forbidden_names)
 
 
 def _relative(path: Path) -> str:
     return str(path.relative_to(ROOT))
 
 
-def _says_why_it_is_long(name: str) -> bool:
-    """Return whether the module doc comment speaks of the limit, as one that gives the reason does."""
-    doc_comment = ast.get_docstring(ast.parse((ROOT / name).read_text())) or ""
-    return f"{MAX_FILE_LINES} lines" in doc_comment
+def _explains_its_length(name: str) -> bool:
+    """Return whether the module docstring mentions the limit, as one that explains the length does."""
+    docstring = ast.get_docstring(ast.parse((ROOT / name).read_text())) or ""
+    return f"{MAX_FILE_LINES} lines" in docstring
 
 
 def _list_definitions(path: Path, *kinds: type[ast.AST]) -> list[Definition]:
--- a/tests/project/test_style.py
+++ b/tests/project/test_style.py
@@ -1,4 +1,4 @@
-"""Format, lint and types."""
+"""Formatter, linter and type checker find no fault in the project."""
 
 import subprocess
 import sys
@@ -7,7 +7,7 @@
 
 
 def run_module(*command: str) -> None:
-    """Run a Python module as a program on the project, and expect that it finds no fault."""
+    """Run a Python module as a program in the project's root, and assert that it succeeds."""
     result = subprocess.run([sys.executable, "-m", *command], cwd=ROOT, capture_output=True, text=True)
     assert result.returncode == 0, result.stdout + result.stderr
 
--- a/tests/service/test_shutdown.py
+++ b/tests/service/test_shutdown.py
@@ -60,7 +60,7 @@
         release.set()
         assert await before == 200
         while loop.time() < shutdown_started_at + 0.9:
-            trace_id = str(node.accepted + len(node.heads))
+            trace_id = str(node.accepted_connections + len(node.heads))
             assert await self.get_status(TARGET, **{"X-Trace-Id": trace_id}) == 200
             await asyncio.sleep(0.1)
         # Its deadline is later than the end of the process; idle connections are closed by then.
--- a/tests/service/test_start.py
+++ b/tests/service/test_start.py
@@ -52,7 +52,7 @@
 
         async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             if is_available.is_set():
-                await discovery.connected(reader, writer)
+                await discovery.handle_connection(reader, writer)
             else:
                 writer.close()
 
--- a/tests/sftp/test_node_client.py
+++ b/tests/sftp/test_node_client.py
@@ -16,7 +16,11 @@
         client = await self.start(node)
         status = await client.upload("/plats/t1", b"scan")
         assert_status(status, StatusCode.FAILURE, "the change may have been made")
-        assert (node.store_counts["/plats/t1"], node.requests.count("Open"), node.accepted) == (1, 1, 1)
+        assert (node.store_counts["/plats/t1"], node.requests.count("Open"), node.accepted_connections) == (
+            1,
+            1,
+            1,
+        )
 
     async def test_repeated_listing_does_not_reach_a_draining_node(self) -> None:
         draining = FakeSftpNode()
@@ -55,12 +59,12 @@
         client = await self.start(node)
         await client.list_directory("/plats")
         await client.list_directory("/plats")
-        assert node.accepted == 1
+        assert node.accepted_connections == 1
         await client.upload("/plats/t1", b"scan")
-        assert node.accepted == 2
+        assert node.accepted_connections == 2
 
     async def test_attempt_without_a_response_is_cancelled_at_the_deadline(self) -> None:
-        node = FakeSftpNode(never_replies=True)
+        node = FakeSftpNode(never_responds=True)
         client = await self.start(node, command_timeout_s=0.3)
         started_at = self.executor.now()
         status = await client.upload("/plats/t1", b"scan")
--- a/tests/sftp/test_request_handler.py
+++ b/tests/sftp/test_request_handler.py
@@ -35,7 +35,7 @@
         client = await self.start(node)
         status = await client.upload("/plats/t1", bytes(65537))
         assert_status(status, StatusCode.FAILURE, "not stored")
-        assert node.accepted == 0
+        assert node.accepted_connections == 0
 
     async def test_realpath_and_changes_of_a_path_get_responses(self) -> None:
         node = FakeSftpNode()
@@ -57,7 +57,7 @@
         opened = await client.request(packets.Open(0, "/plats/t1", OpenFlags.WRITE, NO_ATTRIBUTES))
         await client.request(packets.Write(0, opened.handle, 0, b"scan"))
         assert (await client.request(packets.Fstat(0, opened.handle))).attributes.size == 4
-        assert node.accepted == 0
+        assert node.accepted_connections == 0
 
     async def test_listing_is_split_into_responses_of_at_most_64_entries(self) -> None:
         node = FakeSftpNode()
--- a/tests/sftp/test_server.py
+++ b/tests/sftp/test_server.py
@@ -28,20 +28,20 @@
         node = FakeSftpNode()
         client = await self.start(node)
         node.files["/plats/t1"] = b"scan"
-        node.may_reply.clear()
+        node.may_respond.clear()
         client.writer.write(encode_packet(packets.Stat(1, "/plats/t1")))
         async with asyncio.timeout(5):
             await wait_until(lambda: bool(node.requests))
             closing = asyncio.create_task(self.server.close(1.0))
             await wait_until(lambda: self.server.listener is None)
-            node.may_reply.set()
+            node.may_respond.set()
             await closing
             response = await client.receive()
             assert (response.request_id, response.attributes.size) == (1, 4)
             assert await client.reader.read() == b""
 
     async def test_close_aborts_the_current_command_after_the_grace_period(self) -> None:
-        node = FakeSftpNode(never_replies=True)
+        node = FakeSftpNode(never_responds=True)
         client = await self.start(node, command_timeout_s=5.0)
         client.writer.write(encode_packet(packets.Stat(1, "/plats/t1")))
         async with asyncio.timeout(3):
--- a/tests/sftp/test_session.py
+++ b/tests/sftp/test_session.py
@@ -49,13 +49,15 @@
         assert await other.reader.read() == b""
 
     async def test_client_that_disconnects_cancels_its_command(self) -> None:
-        node = FakeSftpNode(never_replies=True)
+        node = FakeSftpNode(never_responds=True)
         client = await self.start(node)
         client.writer.write(encode_packet(packets.Stat(1, "/plats/t1")))
         async with asyncio.timeout(5):
             await wait_until(lambda: bool(node.requests))
             client.writer.close()
-            await wait_until(lambda: not (node.open or self.executor.pending or self.server.sessions))
+            await wait_until(
+                lambda: not (node.open_connections or self.executor.pending or self.server.sessions)
+            )
 
     async def test_session_is_closed_after_the_idle_timeout(self) -> None:
         client = await self.start(idle_timeout_s=0.05)
--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""Builders, scripted peers and test cases that the tests share."""
+"""Shared builders, scripted servers and base classes for tests."""
--- a/tests/support/configuration.py
+++ b/tests/support/configuration.py
@@ -1,4 +1,4 @@
-"""A configuration with two request classes: one for repeatable reads, one for writes that run once."""
+"""A configuration with two request classes: repeatable reads and non-idempotent writes."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
     "PolicyLimits": {"Cancel": True, "SendCap": 4, "DialTimeoutS": 0.25, "IdleCloseS": 30.0},
     "Siblings": 1,
 }
-"""The ``settings`` of a configuration file, with the keys that the file has."""
+"""The ``settings`` table of a configuration file."""
 
 
 def make_two_class_settings(**changes: Any) -> api.Settings:
-    """Return decoded settings with the two classes; ``changes`` replaces fields."""
+    """Return decoded settings with the two request classes; ``changes`` replaces fields."""
     read_class = make_request_class(priority_weight=3.0)
     write_class = make_request_class(repeatability=api.Repeatability.NON_IDEMPOTENT, priority_weight=2.0)
     return make_settings([read_class, write_class], gateway_count=1, max_attempts=4, **changes)
 
 
 def make_config(**changes: Any) -> GatewayConfig:
-    """Return the configuration of a gateway on loopback; ``changes`` replaces fields."""
+    """Return the configuration of a gateway instance on loopback; ``changes`` replaces fields."""
     base = GatewayConfig(
         name="n0",
         listen=Address("127.0.0.1", 0),
--- a/tests/support/endpoints.py
+++ b/tests/support/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints of storage nodes on loopback, in the registry's form and in that of the discovery service."""
+"""Endpoints of storage nodes on loopback, as registry records and in the JSON format of discovery."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 def make_endpoint(
     name: str, port: int, state: api.EndpointState = api.EndpointState.SERVING, shard: int = 0
 ) -> Endpoint:
-    """Return the endpoint of a node on loopback."""
+    """Return the registry's record of a node on loopback."""
     return Endpoint(name, Address("127.0.0.1", port), "basement", shard, state, 0.0)
 
 
 def apply_endpoints(
     registry: EndpointRegistry, *endpoints: Endpoint, is_snapshot: bool = False
 ) -> api.EndpointsChanged:
-    """Apply an update to the registry, and return the event that tells the policy of it."""
+    """Apply an update to the registry, and return the event that reports it to the policy."""
     kind = api.EndpointUpdateKind.SNAPSHOT if is_snapshot else api.EndpointUpdateKind.DELTA
     return api.EndpointsChanged(kind, registry.apply(EndpointUpdate(1, is_snapshot, list(endpoints))))
 
 
 def discovery_entry(state: str, port: int = 9) -> dict[str, Any]:
-    """Return the endpoint of a node on loopback as the discovery service lists it."""
+    """Return the endpoint of a node on loopback, as the discovery service lists it."""
     return {
         "instanceId": "s-a",
         "hostPort": f"127.0.0.1:{port}",
@@ -37,5 +37,5 @@
 
 
 def discovery_snapshot(*entries: dict[str, Any], generation: int = 1) -> dict[str, Any]:
-    """Return a whole endpoint list as the discovery service sends it."""
+    """Return a complete endpoint list, as the discovery service sends it."""
     return {"generation": generation, "reset": True, "instances": list(entries)}
--- a/tests/support/failing_discovery.py
+++ b/tests/support/failing_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery services that fail in scripted ways, and a condition to wait for."""
+"""Discovery services that fail in scripted ways, and a helper that polls a condition."""
 
 from __future__ import annotations
 
@@ -17,11 +17,12 @@
 
 POLL_INTERVAL_S = 0.005
 
-Reply = Callable[[asyncio.StreamWriter], Awaitable[None]]
+Responder = Callable[[asyncio.StreamWriter], Awaitable[None]]
+"""Writes the response to one call; the connection is closed when it returns."""
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    """Poll until the condition holds; what it reads, such as a watch's count of failures, sets no event."""
+    """Poll until the condition holds; the state that it reads, such as a failure count, sets no event."""
     while True:
         if condition():
             return
@@ -29,13 +30,13 @@
 
 
 class BusyDiscovery(FakePeer):
-    """Rejects so many calls, then sends one empty message to each watch."""
+    """Rejects the first ``failures`` calls with 503, then sends one empty message to each watch."""
 
     def __init__(self, failures: int) -> None:
         super().__init__()
         self.failures = failures
 
-    async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         if self.failures:
             self.failures -= 1
@@ -45,36 +46,36 @@
 
 
 class ScriptedDiscovery(FakePeer):
-    """Gives each call the next of the scripted replies; the last one goes to all calls that follow."""
+    """Responds to each call with the next responder; the last one also serves all later calls."""
 
-    def __init__(self, *replies: Reply) -> None:
+    def __init__(self, *responders: Responder) -> None:
         super().__init__()
-        self.replies = list(replies)
+        self.responders = list(responders)
         self.targets = asyncio.Queue[str]()
 
-    async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.targets.put_nowait((await reader.readuntil(b"\r\n\r\n")).decode().split()[1])
-        reply = self.replies.pop(0) if len(self.replies) > 1 else self.replies[0]
-        await reply(writer)
+        responder = self.responders.pop(0) if len(self.responders) > 1 else self.responders[0]
+        await responder(writer)
 
 
 def make_chunk(data: bytes) -> bytes:
-    """Return the data as a chunk of HTTP's chunked coding."""
+    """Encode the data as one chunk of HTTP's chunked transfer coding."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
 async def snapshot(writer: asyncio.StreamWriter) -> None:
-    """The whole list."""
+    """Send the complete endpoint list."""
     writer.write(make_response(200, json.dumps(SNAPSHOT).encode(), "Connection: close"))
 
 
 async def no_response(writer: asyncio.StreamWriter) -> None:
-    """Nothing at all, on a connection that stays open."""
+    """Send nothing, and keep the connection open."""
     await asyncio.Event().wait()
 
 
 async def trickling_message(writer: asyncio.StreamWriter) -> None:
-    """An empty message, then one that never ends, a byte now and then."""
+    """Send an empty message, then one that never ends, byte by byte."""
     writer.write(WATCH_HEAD + make_chunk(b"\n"))
     while True:
         writer.write(make_chunk(b" "))
@@ -83,7 +84,7 @@
 
 
 async def endless_list(writer: asyncio.StreamWriter) -> None:
-    """A list that never ends, a byte now and then."""
+    """Send a list that never ends, byte by byte."""
     writer.write(b"HTTP/1.1 200 X\r\nContent-Length: 99999\r\n\r\n")
     while True:
         writer.write(b" ")
@@ -91,13 +92,13 @@
         await asyncio.sleep(0.01)
 
 
-async def cut_message(writer: asyncio.StreamWriter) -> None:
-    """A change whose line is cut off before its newline, though what came can be decoded."""
+async def truncated_message(writer: asyncio.StreamWriter) -> None:
+    """Send a change whose line lacks its newline, although the received part is valid JSON."""
     writer.write(WATCH_HEAD + make_chunk(json.dumps(DRAINING).encode()) + b"0\r\n\r\n")
 
 
 async def indented_message(writer: asyncio.StreamWriter) -> None:
-    """A change that is written over several lines."""
+    """Send a change as indented JSON over several lines."""
     writer.write(WATCH_HEAD)
     for line in (json.dumps(DRAINING, indent=2) + "\n\n").splitlines(keepends=True):
         writer.write(make_chunk(line.encode()))
@@ -105,6 +106,6 @@
 
 
 async def malformed_message(writer: asyncio.StreamWriter) -> None:
-    """A change over two lines that is no JSON."""
+    """Send a change over two lines that is not valid JSON."""
     writer.write(WATCH_HEAD + make_chunk(b'{"generation": 8,\n') + make_chunk(b"\n"))
     await asyncio.Event().wait()
--- a/tests/support/http.py
+++ b/tests/support/http.py
@@ -30,8 +30,8 @@
     "X-IO": "volume=00000003b4d60021,units=2,shard=0,hosts=1",
 }
 TARGET = "/api?block=7f3a9c21e0b4d655"
-NODE = 1  # the registry's id of the scripted node
-WAIT_LIMIT_S = 5.0  # after which a test fails that waits for something
+NODE_ID = 1  # the first id that the registry assigns, so that of the scripted node
+WAIT_TIMEOUT_S = 5.0  # a test that waits longer for a condition or for data fails
 POLL_INTERVAL_S = 0.005
 
 
@@ -41,7 +41,7 @@
 
 
 def make_client_request(trace_id: str, method: str = "GET", body: bytes = b"") -> ClientRequest:
-    """Return a request of two units as the server would decode it."""
+    """Return a request of two units, as the server decodes it."""
     return ClientRequest(
         trace_id=trace_id,
         method=method,
@@ -61,13 +61,13 @@
 def encode_request(
     trace_id: str, *extra_fields: str, method: str = "GET", changes: dict[str, str] | None = None
 ) -> bytes:
-    """Return the head of a request as a client writes it.
+    """Return the head of a request, as a client sends it.
 
     Args:
-        trace_id: its trace id.
-        extra_fields: lines of the head behind the others, such as ``Content-Length: 4``.
-        method: its method.
-        changes: other values for some of ``HEADERS``.
+        trace_id: trace id of the request.
+        extra_fields: header lines to append, such as ``Content-Length: 4``.
+        method: HTTP method of the request.
+        changes: headers to add to ``HEADERS`` or to replace in it; None for no changes.
     """
     headers = HEADERS | (changes or {})
     lines = [
@@ -81,12 +81,12 @@
 
 
 class HttpServerCase(unittest.IsolatedAsyncioTestCase):
-    """A test with a server, its executor and node client, and one node."""
+    """A test case with an HTTP server, its executor and node client, and one storage node."""
 
     async def start_server(
         self, script: Callable[[str], Awaitable[bytes | None]], max_connections: int = 32
     ) -> None:
-        """Start the node with its script and a server that sends requests to it."""
+        """Start a node with this script, and a server that sends requests to the node."""
         self.node: FakeHttpNode = await FakeHttpNode(script).start()
         self.executor = RequestExecutor(make_config().settings)
         self.registry = EndpointRegistry({})
@@ -111,7 +111,7 @@
     async def send_request(
         self, trace_id: str, method: str = "GET", body: bytes = b"", changes: dict[str, str] | None = None
     ) -> tuple[int, bytes]:
-        """Send a request with aiohttp's client; return the status and body of its response."""
+        """Send a request with aiohttp's client, and return the status and body of its response."""
         class_name = "record-write" if method == "PUT" else "tile-read"
         headers = {**HEADERS, "X-Trace-Id": trace_id, "X-Qos": class_name, **(changes or {})}
         url = self.url + TARGET
@@ -119,15 +119,15 @@
             return response.status, await response.read()
 
     async def wait_until(self, condition: Callable[[], Any]) -> None:
-        """Wait until the condition holds."""
-        async with asyncio.timeout(WAIT_LIMIT_S):
+        """Poll until the condition holds; fail after ``WAIT_TIMEOUT_S``."""
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while True:
                 if condition():
                     return
                 await asyncio.sleep(POLL_INTERVAL_S)
 
     async def only_connection(self, condition: Callable[[ClientConnection], Any]) -> ClientConnection:
-        """Wait until one client's connection meets the condition, and return it."""
+        """Wait until a client connection meets the condition, and return that connection, the only one."""
 
         def matching() -> list[ClientConnection]:
             return [connection for connection in self.server.connections.open if condition(connection)]
@@ -137,23 +137,27 @@
         return connection
 
     async def open_stream(self, *parts: bytes) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """Open a client's connection and send raw bytes on it."""
+        """Open a client connection, and send raw bytes on it."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.server.address.port)
         writer.write(b"".join(parts))
         return reader, writer
 
     def open_socket(self) -> socket.socket:
-        """Open a client's socket outside the loop: what it sends or ends is in the kernel at once."""
+        """Open a client socket outside the event loop: its writes and its close reach the kernel at once."""
         client = socket.create_connection(("127.0.0.1", self.server.address.port))
         self.addCleanup(client.close)
         return client
 
     async def receive(self, client: socket.socket, until: bytes | None = None) -> bytes:
-        """Return all that comes, up to the end or to ``until``; a reset raises ConnectionError."""
+        """Return the data received up to the end of the stream or to ``until``.
+
+        Raises:
+            ConnectionError: the server has reset the connection.
+        """
         client.setblocking(False)
         received = b""
         loop = asyncio.get_running_loop()
-        async with asyncio.timeout(WAIT_LIMIT_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while part := await loop.sock_recv(client, 65536):
                 received += part
                 if until and until in received:
@@ -161,15 +165,15 @@
         return received
 
     def advance_clock(self, seconds: float) -> None:
-        """Move the executor's clock on; its timers stay."""
+        """Advance the executor's clock; timers that are already set keep their time."""
         self.executor.clock_offset_s += seconds
 
     def after_dial(self, action: Callable[[], Any]) -> Any:
-        """Patch the node client: the action runs once a connection to a node is up, before anything else."""
+        """Patch the node client to run the action as soon as a connection to a node is established."""
         return self.patch_dial(lambda connection: action())
 
     def patch_dial(self, action: Callable[[NodeConnection], Any]) -> Any:
-        """Like ``after_dial``, for an action on the new connection."""
+        """Patch the node client to run the action on each new connection to a node before its first use."""
         dial = self.node_client.dial
 
         async def dial_and_act(pool: ConnectionPool) -> NodeConnection:
--- a/tests/support/peers.py
+++ b/tests/support/peers.py
@@ -1,4 +1,4 @@
-"""Scripted peers on loopback: storage nodes over HTTP, and the discovery service."""
+"""Scripted servers on loopback: storage nodes over HTTP, and the discovery service."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 REQUEST_TIMEOUT_S = 10.0  # for a request that a test waits for
 
 Script = Callable[[str], Awaitable[bytes | None]]
-"""Returns the whole response to the request with this trace id, or None to break the connection off."""
+"""Returns the complete response to the request with this trace id, or None to close the connection."""
 
 
 def make_response(status: int = 200, body: bytes = b"tile", *headers: str) -> bytes:
-    """Return an HTTP response as it goes over the wire."""
+    """Return an encoded HTTP response."""
     lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}", *headers, "", ""]
     return "\r\n".join(lines).encode() + body
 
@@ -26,7 +26,7 @@
 
 
 async def never_respond(trace_id: str) -> bytes:
-    """Script of a node that reads requests and does no more."""
+    """Script of a node that reads requests and never responds."""
     await asyncio.Event().wait()
     raise AssertionError("nothing sets the event")
 
@@ -35,40 +35,40 @@
     """A listener whose connections are served by the subclass.
 
     Attributes:
-        port: the port that it listens on, once it is started.
-        open: connections that are open now.
-        accepted: connections that were opened at any time.
+        port: the port that it listens on; 0 until it is started.
+        open_connections: number of connections that are open now.
+        accepted_connections: number of connections accepted since the start.
     """
 
     def __init__(self) -> None:
         self.port = 0
-        self.open = 0
-        self.accepted = 0
+        self.open_connections = 0
+        self.accepted_connections = 0
         self.server: asyncio.Server | None = None
         self.writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> Self:
         """Listen on a free port, and return the peer itself."""
-        self.server = await asyncio.start_server(self.connected, "127.0.0.1", 0)
+        self.server = await asyncio.start_server(self.handle_connection, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
-    async def connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one connection to its end."""
-        self.accepted += 1
-        self.open += 1
+    async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Count a new connection, and serve it until it ends."""
+        self.accepted_connections += 1
+        self.open_connections += 1
         self.writers.add(writer)
         try:
-            await self.converse(reader, writer)
+            await self.serve(reader, writer)
         except (EOFError, OSError):
             pass
         finally:
-            self.open -= 1
+            self.open_connections -= 1
             self.writers.discard(writer)
             writer.transport.abort()
 
-    async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Read what comes on a connection and respond to it; the connection ends when this returns."""
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Respond to the requests on a connection, which is aborted when this returns."""
         raise NotImplementedError
 
     def stop(self) -> None:
@@ -83,8 +83,8 @@
     """A storage node that responds as scripted.
 
     Attributes:
-        heads: the head of each request that came whole.
-        counts: how many requests came whole, by their trace id.
+        heads: the head of each complete request.
+        counts: number of complete requests by trace id.
     """
 
     def __init__(self, script: Script) -> None:
@@ -95,12 +95,12 @@
         self._arrived: defaultdict[str, asyncio.Event] = defaultdict(asyncio.Event)
 
     async def wait_for_request(self, trace_id: str) -> None:
-        """Return once a request with this trace id has come whole."""
+        """Return once a complete request with this trace id has arrived."""
         async with asyncio.timeout(REQUEST_TIMEOUT_S):
             await self._arrived[trace_id].wait()
 
-    async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Respond to request after request, until the script or the client ends the connection."""
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Respond to requests in turn, until the script or the client ends the connection."""
         while True:
             trace_id = await self._read_request(reader)
             response = await self._run_script(trace_id, reader)
@@ -119,7 +119,7 @@
         return trace_id
 
     async def _run_script(self, trace_id: str, reader: asyncio.StreamReader) -> bytes | None:
-        """Return the scripted response, or None where the client closes before it is there."""
+        """Return the scripted response, or None if the client closes the connection first."""
         responding = asyncio.ensure_future(self.script(trace_id))
         closing = asyncio.ensure_future(reader.read(1))
         await asyncio.wait({responding, closing}, return_when=asyncio.FIRST_COMPLETED)
@@ -132,32 +132,32 @@
 
 
 class FakeDiscovery(FakePeer):
-    """A discovery service.
+    """A discovery service with a fixed endpoint list and scripted watches.
 
     Args:
-        whole: the endpoint list.
-        rounds: the lines that each watch gets, one list for a watch; a further one gets none.
+        endpoint_list: the complete list, as the service sends it.
+        watch_lines: the lines that each watch receives, a list for each watch; further watches receive none.
 
     Attributes:
-        asked: the target of each request.
+        targets: the target of each request, in order of arrival.
     """
 
-    def __init__(self, whole: dict[str, Any], rounds: list[list[bytes]]) -> None:
+    def __init__(self, endpoint_list: dict[str, Any], watch_lines: list[list[bytes]]) -> None:
         super().__init__()
-        self.whole = whole
-        self.rounds = rounds
-        self.asked: list[str] = []
+        self.endpoint_list = endpoint_list
+        self.watch_lines = watch_lines
+        self.targets: list[str] = []
 
-    async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Respond with the list, or stream the lines of the next watch until the client closes."""
         while True:
             target = (await reader.readuntil(b"\r\n\r\n")).decode().split()[1]
-            self.asked.append(target)
+            self.targets.append(target)
             if "watch" not in target:
-                writer.write(make_response(200, json.dumps(self.whole).encode()))
+                writer.write(make_response(200, json.dumps(self.endpoint_list).encode()))
                 continue
             writer.write(b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n")
-            for line in self.rounds.pop(0) if self.rounds else []:
+            for line in self.watch_lines.pop(0) if self.watch_lines else []:
                 writer.write(b"%x\r\n%s\n\r\n" % (len(line) + 1, line))
             await reader.read(1)  # until the client closes
             return
--- a/tests/support/policy.py
+++ b/tests/support/policy.py
@@ -1,4 +1,4 @@
-"""Helpers: settings with every rule off, and a policy driven event by event."""
+"""Builders of policy settings with the optional rules disabled, and a driver for a policy."""
 
 from __future__ import annotations
 
@@ -12,7 +12,8 @@
 
 
 def make_request_class(**changes: Any) -> api.RequestClass:
-    spec = api.RequestClass(
+    """Return a repeatable request class; ``changes`` replaces fields."""
+    request_class = api.RequestClass(
         latency_objective_s=0.5,
         priority_weight=2.0,
         late_value=0.2,
@@ -21,11 +22,12 @@
         idempotency_window_s=5.0,
         ordered_by_key=False,
     )
-    return replace(spec, **changes)
+    return replace(request_class, **changes)
 
 
 def make_plan(**changes: Any) -> api.Plan:
-    spec = api.Plan(
+    """Return a plan without a rate limit; ``changes`` replaces fields."""
+    plan = api.Plan(
         value_factor=1.0,
         expected_rate=8.0,
         reserved_rate=4.0,
@@ -33,7 +35,7 @@
         rate_limit=0.0,
         rate_limit_burst=0.0,
     )
-    return replace(spec, **changes)
+    return replace(plan, **changes)
 
 
 def make_settings(
@@ -42,7 +44,15 @@
     safety: dict[str, Any] | None = None,
     **changes: Any,
 ) -> api.Settings:
-    figures = api.SafetyLimits(
+    """Return policy settings.
+
+    Args:
+        classes: the request classes; None for the one of ``make_request_class``.
+        plans: the plans; None for the one of ``make_plan``.
+        safety: fields of the safety limits to replace; None for no changes.
+        changes: fields of the settings to replace.
+    """
+    safety_limits = api.SafetyLimits(
         slow_start_min_share=0.2,
         slow_start_window_s=10.0,
         overload_multiple=2.0,
@@ -56,7 +66,7 @@
     base = api.Settings(
         classes=classes or [make_request_class()],
         plans=plans or [make_plan()],
-        safety=replace(figures, **(safety or {})),
+        safety=replace(safety_limits, **(safety or {})),
         seed=1,
         gateway_count=2,
         must_watch_endpoints=False,
@@ -73,17 +83,25 @@
 def make_endpoint_entry(
     node: int, shard: int, state: api.EndpointState = api.EndpointState.SERVING, started_at: float = 0.0
 ) -> api.EndpointEntry:
+    """Return the entry of a node in an update of the endpoint list; zones 0 and 1 alternate by shard."""
     return api.EndpointEntry(node=node, shard=shard, zone=shard % 2, state=state, started_at=started_at)
 
 
 class PolicyDriver:
-    """Drives one policy event by event: keeps its clock, its actions, and the attempts that it has sent."""
+    """Sends events to one policy, and keeps its clock, its actions and the numbers of its attempts.
+
+    Attributes:
+        policy: the policy under test.
+        now: the policy's clock, in seconds.
+        actions: all actions so far, in order, without those that set timers.
+        attempt_numbers: number of the latest attempt, by request id.
+    """
 
     def __init__(self, settings: api.Settings, nodes: list[api.EndpointEntry], now: float = 100.0) -> None:
         self.policy = Policy(settings)
         self.now = now
         self.actions: list[api.Action] = []
-        self.attempt_numbers: dict[str, int] = {}  # by request, of its latest attempt
+        self.attempt_numbers: dict[str, int] = {}
         self.step(api.EndpointsChanged(api.EndpointUpdateKind.CACHED, nodes))
 
     @property
@@ -102,7 +120,7 @@
         return self.policy.state.volumes.by_id
 
     def step(self, *events: api.Event, at: float | None = None) -> list[api.Action]:
-        """Feed a batch of events; returns its actions without the policy's own timers."""
+        """Process a batch of events, and return the actions, without those that set timers."""
         if at is not None:
             self.now = at
         actions = self.policy.step(self.now, list(events))
@@ -114,18 +132,18 @@
         return actions
 
     def run_until(self, end: float) -> list[api.Action]:
-        """Let time pass in steps of 20 ms."""
+        """Advance the clock to ``end`` in steps of 20 ms, and return the actions."""
         actions: list[api.Action] = []
         while self.now < end:
             actions += self.step(api.TimerFired(0), at=min(end, self.now + 0.02))
         return actions
 
     def submit(self, request_id: str, **changes: Any) -> list[api.Action]:
-        """Let a request arrive now."""
+        """Process the arrival of a request, and return the actions."""
         return self.step(self.arrival(request_id, **changes))
 
     def arrival(self, request_id: str, **changes: Any) -> api.RequestArrived:
-        """Make the event of a request that arrives now: of one unit, for shard 1, with two seconds left."""
+        """Return the event of a request that arrives now: one unit, for shard 1, with a deadline in 2 s."""
         base = api.RequestArrived(
             request_id=request_id,
             class_index=0,
@@ -147,7 +165,7 @@
         elapsed_s: float = 0.05,
         **changes: Any,
     ) -> list[api.Action]:
-        """Let the latest attempt of a request end now."""
+        """End the latest attempt of a request now, and return the actions."""
         base = api.AttemptEnded(
             request_id=request_id,
             attempt=self.attempt_numbers[request_id],
@@ -159,17 +177,17 @@
         return self.step(replace(base, **changes))
 
     def attempts_in_flight(self, node: int) -> int:
-        """Return how many attempts are in flight at this node."""
+        """Return the number of attempts in flight at this node."""
         attempts = [attempt for request in self.requests.values() for attempt in request.in_flight.values()]
         return sum(attempt.node.node_id == node for attempt in attempts)
 
     def end_all_attempts(self, elapsed_s: float) -> None:
-        """Let every attempt in flight be served now, by the node that it was sent to."""
+        """End every attempt in flight now, as served by the node that it was sent to."""
         for request in [request for request in self.requests.values() if request.in_flight]:
             (attempt,) = request.in_flight.values()
             node = attempt.node.node_id
             self.end_attempt(request.request_id, api.AttemptOutcome.SERVED, node=node, elapsed_s=elapsed_s)
 
     def sent(self) -> list[str]:
-        """Return the requests of all attempts so far, in order."""
+        """Return the request ids of all attempts so far, in order."""
         return [action.request_id for action in self.actions if isinstance(action, api.SendAttempt)]
--- a/tests/support/process.py
+++ b/tests/support/process.py
@@ -1,4 +1,4 @@
-"""A gateway process on loopback."""
+"""A test case that runs a gateway process on loopback."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 
 class GatewayProcessCase(unittest.IsolatedAsyncioTestCase):
-    """A test of one gateway process, which is ended with the test.
+    """A test case with one gateway process, which is killed after the test.
 
     Attributes:
-        process: the gateway.
-        config_path: its configuration file.
-        port: the port that it listens on for clients.
-        client: a session of a client.
+        process: the gateway process.
+        config_path: the configuration file of the process.
+        port: the port on which the gateway listens for clients.
+        client: the session that sends the test's requests.
     """
 
     process: asyncio.subprocess.Process
@@ -38,7 +38,12 @@
     client: aiohttp.ClientSession
 
     async def start_process(self, variables: dict[str, str] | None = None, **changes: Any) -> None:
-        """Start a gateway; ``variables`` is added to its environment, ``changes`` to its configuration."""
+        """Start a gateway with additions to its environment and changes to its configuration.
+
+        Args:
+            variables: environment variables to add; None for none.
+            changes: values of the configuration file to add or to replace.
+        """
         folder = self.enterContext(tempfile.TemporaryDirectory())
         self.config_path = Path(folder) / "config.json"
         values = {
@@ -62,7 +67,7 @@
         self.addAsyncCleanup(self._end_process)
 
     async def start_gateway(self, variables: dict[str, str] | None = None, **changes: Any) -> None:
-        """Start a gateway, wait until it is ready, and make a client for it."""
+        """Start a gateway, wait until it is ready, and open a client session."""
         await self.start_process(variables, **changes)
         ready_line = await self.read_log_until(b"event='gateway_ready'")
         (port,) = re.findall(rb"port=(\d+)\)", ready_line)
@@ -71,27 +76,27 @@
         self.addAsyncCleanup(self.client.close)
 
     async def start_node(self, script: Script) -> FakeHttpNode:
-        """Start a storage node that is stopped with the test."""
+        """Start a storage node that is stopped after the test."""
         node = await FakeHttpNode(script).start()
         self.addCleanup(node.stop)
         return node
 
-    async def start_discovery(self, whole: dict[str, Any]) -> FakeDiscovery:
-        """Start a discovery service with this endpoint list, which is stopped with the test."""
-        discovery = await FakeDiscovery(whole, []).start()
+    async def start_discovery(self, endpoint_list: dict[str, Any]) -> FakeDiscovery:
+        """Start a discovery service with this endpoint list; it is stopped after the test."""
+        discovery = await FakeDiscovery(endpoint_list, []).start()
         self.addCleanup(discovery.stop)
         return discovery
 
     async def read_log_until(self, text: bytes) -> bytes:
-        """Return the next line of the gateway's log that holds this text."""
+        """Return the next line of the gateway's log that contains this text."""
         assert self.process.stderr
         async with asyncio.timeout(LOG_TIMEOUT_S):
             while text not in (line := await self.process.stderr.readline()):
-                assert line, "the gateway ended"
+                assert line, f"the gateway ended before it logged {text!r}"
         return line
 
     async def get_response(self, target: str, **headers: str) -> aiohttp.ClientResponse:
-        """Send a request, and return the response once it was read."""
+        """Send a request, and return its response once the body has been read."""
         url = f"http://127.0.0.1:{self.port}{target}"
         async with self.client.get(url, headers={**HEADERS, **headers}) as response:
             await response.read()
@@ -102,10 +107,11 @@
         return (await self.get_response(target, **headers)).status
 
     async def wait_until_served(self, trace_id: str) -> None:
-        """Send a request until it is served, under a new id and for a new object each time.
+        """Send requests until one is served, each with a new id and for a new object.
 
-        A request for the object of one that has just failed counts as its client's retry, and keeps the
-        arrival time of the original: once that is past its latency objective, no retry is served any more.
+        A request for the same object as one that has just failed counts as the client's retry and keeps the
+        arrival time of the original. Once the latency objective of the original has passed, no retry of it is
+        served any more.
         """
         tries = 0
         async with asyncio.timeout(20):
--- a/tests/support/project.py
+++ b/tests/support/project.py
@@ -1,4 +1,4 @@
-"""Where the project's files are."""
+"""The root folder of the project."""
 
 from pathlib import Path
 
--- a/tests/support/sftp.py
+++ b/tests/support/sftp.py
@@ -30,7 +30,7 @@
 
 @dataclass
 class OpenNodeHandle:
-    """A handle that is open at the fake node."""
+    """A file or directory handle that is open at the fake node."""
 
     path: str
     content: bytearray
@@ -42,26 +42,29 @@
     """A storage node for SFTP.
 
     Attributes:
-        files: the content of each path.
-        store_counts: by path, how often a write was executed, which is at its CLOSE.
+        breaks_after_store: whether the node closes the connection instead of responding to a CLOSE that
+            has stored a file.
+        never_responds: whether the node reads requests without responding.
+        files: content of each file, by path.
+        store_counts: number of times that a file was stored, by path; a file is stored at its CLOSE.
         requests: the class names of all packets after the handshake.
-        on_handshake: called at each INIT, before its reply.
-        may_reply: replies wait until it is set, which it is at first.
+        on_handshake: called at each INIT, before the response to it.
+        may_respond: responses wait until this event is set, as it is initially.
     """
 
-    def __init__(self, breaks_after_store: bool = False, never_replies: bool = False) -> None:
+    def __init__(self, breaks_after_store: bool = False, never_responds: bool = False) -> None:
         super().__init__()
         self.breaks_after_store = breaks_after_store
-        self.never_replies = never_replies
+        self.never_responds = never_responds
         self.files: dict[str, bytes] = {}
         self.store_counts: defaultdict[str, int] = defaultdict(int)
         self.requests: list[str] = []
         self.on_handshake: Callable[[], None] = lambda: None
-        self.may_reply = asyncio.Event()
-        self.may_reply.set()
+        self.may_respond = asyncio.Event()
+        self.may_respond.set()
 
-    async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer one connection's packets in turn."""
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Respond to the packets of one connection in turn."""
         handles: dict[bytes, OpenNodeHandle] = {}
         while True:
             packet = decode_packet(await read_packet(reader))
@@ -70,18 +73,18 @@
                 writer.write(encode_packet(packets.Version(packets.PROTOCOL_VERSION)))
                 continue
             self.requests.append(type(packet).__name__)
-            if self.never_replies:
+            if self.never_responds:
                 continue
-            await self.may_reply.wait()
-            reply = self._make_reply(packet, handles)
-            if reply is None:
+            await self.may_respond.wait()
+            response = self._make_response(packet, handles)
+            if response is None:
                 return
-            writer.write(encode_packet(replace(reply, request_id=packet.request_id)))
+            writer.write(encode_packet(replace(response, request_id=packet.request_id)))
 
-    def _make_reply(
+    def _make_response(
         self, packet: packets.Packet, handles: dict[bytes, OpenNodeHandle]
     ) -> packets.Packet | None:
-        """Execute a request; None breaks the connection."""
+        """Execute a request and return its response; None closes the connection."""
         match packet:
             case packets.Open() | packets.Opendir():
                 return self._open(packet, handles)
@@ -132,7 +135,7 @@
 
 
 class SftpTestClient:
-    """A client of the draft that sends one request at a time."""
+    """An SFTP client that sends one request at a time."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
@@ -144,15 +147,15 @@
         return decode_packet(await read_packet(self.reader))
 
     async def request(self, packet: packets.Packet) -> Any:
-        """Send a request under the next id and return its reply."""
+        """Send a request with the next id, and return its response."""
         self.last_request_id += 1
         self.writer.write(encode_packet(replace(packet, request_id=self.last_request_id)))
-        reply = await self.receive()
-        assert reply.request_id == self.last_request_id, reply
-        return reply
+        response = await self.receive()
+        assert response.request_id == self.last_request_id, response
+        return response
 
     async def upload(self, path: str, content: bytes) -> packets.Status:
-        """Store a file and return the status of CLOSE, which is the upload's outcome."""
+        """Store a file, and return the status of its CLOSE, which reports the outcome of the upload."""
         handle = (await self.request(packets.Open(0, path, STORE_FLAGS, NO_ATTRIBUTES))).handle
         for start in range(0, len(content), 32768):
             await self.request(packets.Write(0, handle, start, content[start : start + 32768]))
@@ -160,26 +163,26 @@
         return status
 
     async def list_directory(self, path: str) -> list[str] | packets.Status:
-        """Return the names in a directory, or the status by which it could not be opened."""
+        """Return the names in a directory, or the error status if it cannot be opened."""
         opened = await self.request(packets.Opendir(0, path))
         if isinstance(opened, packets.Status):
             return opened
         names = []
-        while isinstance(reply := await self.request(packets.Readdir(0, opened.handle)), packets.Name):
-            names += [entry.filename for entry in reply.entries]
+        while isinstance(response := await self.request(packets.Readdir(0, opened.handle)), packets.Name):
+            names += [entry.filename for entry in response.entries]
         await self.request(packets.Close(0, opened.handle))
         return names
 
 
 def assert_status(status: Any, code: StatusCode, message_part: str) -> None:
-    """Check that a reply is a status of this code, whose message holds these words."""
+    """Assert that a response is a status with this code, and that its message contains this text."""
     assert isinstance(status, packets.Status)
     assert status.code == code, status
     assert message_part in status.message
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    """Return once the condition holds, which no event announces; the caller sets the time limit."""
+    """Poll until the condition holds, as no event reports it; the caller sets the timeout."""
     while True:
         if condition():
             return
@@ -187,12 +190,12 @@
 
 
 class SftpServerCase(unittest.IsolatedAsyncioTestCase):
-    """A test case with a server of one volume, ``/plats``, and its fake nodes."""
+    """A test case with an SFTP server for one volume, ``/plats``, and fake storage nodes."""
 
     async def start(
         self, *nodes: FakeSftpNode, plan: api.Plan = PUBLIC_PLAN, **config_changes: Any
     ) -> SftpTestClient:
-        """Start the nodes and a server that knows the first of them, and connect a client."""
+        """Start the nodes and a server with an endpoint for the first node, and connect a client."""
         self.executor = RequestExecutor(make_two_class_settings(plans=[plan]))
         self.registry = EndpointRegistry({})
         self.node_client = SftpNodeClient(self.registry, 0, 0.25, 30.0, 32)
@@ -211,7 +214,7 @@
         return client
 
     async def connect(self) -> SftpTestClient:
-        """Connect a client that has not sent INIT."""
+        """Connect a client, without the handshake."""
         assert self.server.listener
         port = self.server.listener.sockets[0].getsockname()[1]
         client = SftpTestClient(*await asyncio.open_connection("127.0.0.1", port))
@@ -229,7 +232,7 @@
 
 
 def make_sftp_config() -> SftpConfig:
-    """Build the configuration of a server with small limits."""
+    """Return the configuration of a server with small limits."""
     return SftpConfig(
         listen=Address("127.0.0.1", 0),
         volumes=[VolumePath("/plats", 7, 0, 0, 1)],
