--- a/storage_gateway/config/reader.py
+++ b/storage_gateway/config/reader.py
@@ -59,7 +59,7 @@
         discovery=_read_overridable_address(environment, "RELAY_DISCOVERY", root, "discovery"),
         configured_discovery=_read_configured_discovery(root),
         seed=seed,
-        connection_budget=ConnectionBudget.of(descriptors, services.sftp is not None),
+        connection_budget=ConnectionBudget.from_descriptor_limit(descriptors, services.sftp is not None),
         known_endpoints=root.value("known", {}),
         settings=read_settings(settings.values, seed),
         class_indexes=class_indexes,
--- a/storage_gateway/config/schema.py
+++ b/storage_gateway/config/schema.py
@@ -122,7 +122,7 @@
     sftp_sessions: int
 
     @classmethod
-    def of(cls, max_descriptors: int, sftp_enabled: bool) -> ConnectionBudget:
+    def from_descriptor_limit(cls, max_descriptors: int, sftp_enabled: bool) -> ConnectionBudget:
         """Allocate the descriptors of a process that may open ``max_descriptors`` of them."""
         available = max_descriptors - RESERVED_DESCRIPTORS
         sessions = (
--- a/tests/config/test_schema.py
+++ b/tests/config/test_schema.py
@@ -15,14 +15,14 @@
     def test_allocation_uses_all_descriptors_within_the_limit(self) -> None:
         for max_descriptors in (112, 500, 1024, 1 << 20):
             for sftp_enabled in (False, True):
-                budget = ConnectionBudget.of(max_descriptors, sftp_enabled)
+                budget = ConnectionBudget.from_descriptor_limit(max_descriptors, sftp_enabled)
                 in_use = budget.client_connections + budget.node_connections + 3 * budget.sftp_sessions
                 assert max_descriptors - 56 - 1 <= in_use <= max_descriptors - 56
                 assert budget.node_connections >= budget.client_connections
                 assert (budget.sftp_sessions > 0) is sftp_enabled
 
     def test_default_limit_is_allocated_as_documented(self) -> None:
-        assert ConnectionBudget.of(1024, True) == ConnectionBudget(436, 170, 436, 32)
+        assert ConnectionBudget.from_descriptor_limit(1024, True) == ConnectionBudget(436, 170, 436, 32)
 
 
 class GatewayConfigTest(unittest.TestCase):
