--- a/storage_gateway/config/reader.py
+++ b/storage_gateway/config/reader.py
@@ -60,7 +60,7 @@
         configured_discovery=_read_configured_discovery(root),
         seed=seed,
         connection_budget=ConnectionBudget.from_descriptor_limit(descriptors, services.sftp is not None),
-        known_endpoints=root.value("known", {}),
+        cached_endpoints=root.value("known", {}),
         settings=read_settings(settings.values, seed),
         class_indexes=class_indexes,
         plan_indexes=plan_indexes,
--- a/storage_gateway/config/schema.py
+++ b/storage_gateway/config/schema.py
@@ -163,7 +163,7 @@
             set at the start and no reload has replaced it since.
         seed: seed of the instance's random numbers.
         connection_budget: limits on the numbers of connections.
-        known_endpoints: an earlier endpoint list in discovery's JSON format, not yet checked; empty for none.
+        cached_endpoints: an earlier endpoint list in discovery's JSON format, unchecked; empty for none.
         settings: the policy's settings.
         class_indexes: index of each request class by its name.
         plan_indexes: index of each plan by its name.
@@ -184,7 +184,7 @@
     discovery: Address
     seed: int
     connection_budget: ConnectionBudget = field(metadata=DEFERRED_ON_RELOAD)
-    known_endpoints: Any
+    cached_endpoints: Any
     settings: api.Settings = field(metadata=DEFERRED_ON_RELOAD)
     class_indexes: dict[str, int] = field(metadata=DEFERRED_ON_RELOAD)
     plan_indexes: dict[str, int] = field(metadata=DEFERRED_ON_RELOAD)
@@ -206,7 +206,7 @@
         """Adopt the discovery address of a configuration that has been read again.
 
         An address that has changed in the file overrides ``RELAY_DISCOVERY``, as the environment of a running
-        process cannot be changed from outside. ``known_endpoints`` and ``seed`` apply only at a start, and
+        process cannot be changed from outside. ``cached_endpoints`` and ``seed`` apply only at a start, and
         their changes are not reported. The policy's settings hold the seed too, so it is copied into ``new``
         before they are compared.
         """
--- a/storage_gateway/service.py
+++ b/storage_gateway/service.py
@@ -150,10 +150,10 @@
         return await SftpService.start(self._config, self._executor, self._registry)
 
     def _publish_cached_endpoints(self) -> None:
-        if not self._config.known_endpoints:
+        if not self._config.cached_endpoints:
             return
         try:
-            update = read_endpoint_update(self._config.known_endpoints)
+            update = read_endpoint_update(self._config.cached_endpoints)
             self._discovery.publish(update, api.EndpointUpdateKind.CACHED)
         except ProtocolError as error:
             log.warning("cached_endpoints_skipped", reason=str(error))
--- a/tests/config/test_schema.py
+++ b/tests/config/test_schema.py
@@ -49,7 +49,7 @@
             listen=Address("127.0.0.1", 9),
             settings=make_two_class_settings(),
             seed=7,
-            known_endpoints={"generation": 1},
+            cached_endpoints={"generation": 1},
         )
         result = config.apply_reload(new)
         assert result.deferred_keys == ["name", "listen", "settings", "idle_close_s"]
--- a/tests/service/test_service.py
+++ b/tests/service/test_service.py
@@ -14,7 +14,7 @@
 def make_gateway(gateway_count: int, known: list[dict[str, Any]]) -> Gateway:
     """Return a gateway with these cached endpoints; it is not started."""
     settings = replace(make_two_class_settings(), gateway_count=gateway_count, must_watch_endpoints=True)
-    return Gateway(make_config(settings=settings, known_endpoints=discovery_snapshot(*known)))
+    return Gateway(make_config(settings=settings, cached_endpoints=discovery_snapshot(*known)))
 
 
 class AcceptTimeTest(unittest.TestCase):
