--- a/storage_gateway/simulator_adapter.py
+++ b/storage_gateway/simulator_adapter.py
@@ -87,7 +87,7 @@
         """
         event_type = wire_event["type"]
         if event_type == "CATALOG":
-            entries = [read_entry(entry) for entry in wire_event["Elements"]]
+            entries = [read_endpoint_entry(entry) for entry in wire_event["Elements"]]
             self._endpoint_lists[wire_event["Slot"]] = entries
             return
         instance = wire_event["Head"]
@@ -130,7 +130,7 @@
     return run_program("simulator_adapter", lambda: serve(sys.stdin, sys.stdout), WireFormatError)
 
 
-def read_entry(entry: WireObject) -> api.EndpointEntry:
+def read_endpoint_entry(entry: WireObject) -> api.EndpointEntry:
     """Translate one entry of an endpoint list; a missing shard, zone or start time takes its default."""
     shard = entry.get("Pack")
     return api.EndpointEntry(
--- a/tests/policy/test_endpoint_updates.py
+++ b/tests/policy/test_endpoint_updates.py
@@ -6,7 +6,7 @@
 
 from storage_gateway import policy_api as api
 from storage_gateway.policy_api import AttemptOutcome
-from storage_gateway.simulator_adapter import read_entry
+from storage_gateway.simulator_adapter import read_endpoint_entry
 from tests.support.policy import PolicyDriver, make_endpoint_entry, make_request_class, make_settings
 
 
@@ -45,7 +45,7 @@
     driver.step(driver.arrival("new", shard=-1), driver.arrival("old", shard=5))
     assert driver.sent() == ["new"]
     driver.end_attempt("new", AttemptOutcome.SERVED)
-    assert read_entry({"Shelf": 3, "StageState": "live"}).shard == -1
+    assert read_endpoint_entry({"Shelf": 3, "StageState": "live"}).shard == -1
 
 
 def test_last_entry_of_a_node_listed_twice_applies() -> None:
