--- a/storage_gateway/endpoints/discovery.py
+++ b/storage_gateway/endpoints/discovery.py
@@ -80,14 +80,14 @@
         self.watches.append(EndpointWatch(self, address, None))
 
     def stop(self) -> None:
-        """Cancel all watches; ``closed`` waits for their end."""
+        """Cancel all watches; ``wait_closed`` waits for their end."""
         for watch in self.watches:
             watch.cancel()
 
-    async def closed(self) -> None:
+    async def wait_closed(self) -> None:
         """Wait, after ``stop``, until all watches have ended and closed their connections."""
         for watch in [*self._superseded, *self.watches]:
-            await watch.closed()
+            await watch.wait_closed()
 
     def publish(self, update: EndpointUpdate, kind: api.EndpointUpdateKind | None = None) -> None:
         """Apply an update to the registry and post it to the policy, without awaiting in between.
--- a/storage_gateway/endpoints/watch.py
+++ b/storage_gateway/endpoints/watch.py
@@ -78,7 +78,7 @@
         """Return whether the watch has ended and its connection is closed."""
         return self._task.done()
 
-    async def closed(self) -> None:
+    async def wait_closed(self) -> None:
         """Wait until a cancelled watch has ended and its connection is closed."""
         await asyncio.wait([self._task])
 
--- a/storage_gateway/service.py
+++ b/storage_gateway/service.py
@@ -138,7 +138,7 @@
             log.warning("shutdown_timed_out", pending=len(self._executor.pending))
         self._discovery.stop()
         self._node_client.close()
-        await self._discovery.closed()
+        await self._discovery.wait_closed()
         log.info("gateway_stopped")
 
     async def _start_sftp_service(self) -> SftpService | None:
--- a/tests/endpoints/test_discovery.py
+++ b/tests/endpoints/test_discovery.py
@@ -117,7 +117,7 @@
             client.move(Address("127.0.0.1", new.port))
             await events.get()
             client.stop()
-            await client.closed()
+            await client.wait_closed()
         assert superseded.is_closed()
         assert [watch.is_closed() for watch in client.watches] == [True]
 
