--- a/storage_gateway/lifecycle.py
+++ b/storage_gateway/lifecycle.py
@@ -151,9 +151,9 @@
                 case api.SendAttempt() | api.RejectRequest() | api.FailRequest():
                     if pending := self.pending.get(action.request_id):
                         pending.actions.put_nowait(action)
-                case api.CancelAttempt(request_id, attempt):
+                case api.CancelAttempt(request_id, attempt_number):
                     if pending := self.pending.get(request_id):
-                        pending.cancel_attempt(attempt, self.loop.time())
+                        pending.cancel_attempt(attempt_number, self.loop.time())
                 case api.SetTimer(delay_s, timer_id):
                     self._set_policy_timer(delay_s, timer_id)
                 case api.WatchEndpoints():
@@ -242,7 +242,7 @@
             self.post(
                 api.AttemptEnded(
                     request_id=request.request_id,
-                    attempt=attempt_number,
+                    attempt_number=attempt_number,
                     node=node,
                     outcome=result.outcome,
                     elapsed_s=self.now() - sent_at,
@@ -273,7 +273,7 @@
 def _unsent_attempt_ended(request_id: str, attempt_number: int, node: int) -> api.AttemptEnded:
     return api.AttemptEnded(
         request_id=request_id,
-        attempt=attempt_number,
+        attempt_number=attempt_number,
         node=node,
         outcome=api.AttemptOutcome.NOT_SENT,
         elapsed_s=0.0,
--- a/storage_gateway/policy/policy.py
+++ b/storage_gateway/policy/policy.py
@@ -78,7 +78,7 @@
             self.state.recheck(subject)
 
     def _on_attempt_ended(self, event: api.AttemptEnded, request: Request) -> None:
-        if event.attempt not in request.in_flight:
+        if event.attempt_number not in request.in_flight:
             return
         attempt = self.state.record_attempt_ended(request, event)
         self.health.update(attempt.node, event, request, attempt.sent_at)
--- a/storage_gateway/policy_api/actions.py
+++ b/storage_gateway/policy_api/actions.py
@@ -39,10 +39,10 @@
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Cancel the attempt with this number."""
+    """Cancel the attempt with this number, counted from 0 for each request."""
 
     request_id: str
-    attempt: int
+    attempt_number: int
 
 
 @dataclass(slots=True)
--- a/storage_gateway/policy_api/events.py
+++ b/storage_gateway/policy_api/events.py
@@ -119,7 +119,7 @@
 
     Attributes:
         request_id: id of the request.
-        attempt: number of the attempt, counted from 0 for each request.
+        attempt_number: number of the attempt, counted from 0 for each request.
         node: id of the node that it was sent to.
         outcome: how the attempt ended.
         elapsed_s: seconds for which it was in flight.
@@ -129,7 +129,7 @@
     """
 
     request_id: str
-    attempt: int
+    attempt_number: int
     node: int
     outcome: AttemptOutcome
     elapsed_s: float
--- a/storage_gateway/policy_state/state.py
+++ b/storage_gateway/policy_state/state.py
@@ -122,7 +122,7 @@
     def record_attempt_ended(self, request: Request, event: AttemptEnded) -> Attempt:
         """Free the slot of an attempt that has ended, and record its outcome and what its node reports."""
         self.counters[event.outcome.value] += 1
-        attempt = request.end_attempt(event.attempt)
+        attempt = request.end_attempt(event.attempt_number)
         self.nodes.mark_ready(attempt.node.shard)
         if event.outcome is AttemptOutcome.SERVED:
             self.volumes.update_other_usage(request, attempt.node, event.units_elsewhere, self.now)
--- a/storage_gateway/simulator_adapter.py
+++ b/storage_gateway/simulator_adapter.py
@@ -165,8 +165,8 @@
             return {"type": "SAY_NO", "Head": instance, "Req": request_id, "WaitS": retry_after_s}
         case api.FailRequest(request_id):
             return {"type": "SURRENDER", "Head": instance, "Req": request_id}
-        case api.CancelAttempt(request_id, attempt):
-            return {"type": "DROP_ATTEMPT", "Head": instance, "Req": request_id, "Shot": attempt}
+        case api.CancelAttempt(request_id, attempt_number):
+            return {"type": "DROP_ATTEMPT", "Head": instance, "Req": request_id, "Shot": attempt_number}
         case api.SetTimer(delay_s, timer_id):
             return {"type": "TIMER", "Head": instance, "AfterS": delay_s, "Ref": timer_id}
         case api.WatchEndpoints():
@@ -197,7 +197,7 @@
 def _read_attempt_ended(event: WireObject) -> api.AttemptEnded:
     return api.AttemptEnded(
         request_id=event["Req"],
-        attempt=event["Shot"],
+        attempt_number=event["Shot"],
         node=event["Shelf"],
         outcome=OUTCOME_BY_DISPOSITION[event["Disposition"]],
         elapsed_s=event["SpentS"],
--- a/tests/support/policy.py
+++ b/tests/support/policy.py
@@ -168,7 +168,7 @@
         """End the latest attempt of a request now, and return the actions."""
         base = api.AttemptEnded(
             request_id=request_id,
-            attempt=self.attempt_numbers[request_id],
+            attempt_number=self.attempt_numbers[request_id],
             node=node,
             outcome=outcome,
             elapsed_s=elapsed_s,
