--- a/storage_gateway/lifecycle.py
+++ b/storage_gateway/lifecycle.py
@@ -201,7 +201,9 @@
                 # The policy counts a SendAttempt that came too late as an attempt in flight: its slot stays
                 # occupied until the attempt is reported as ended.
                 if isinstance(action, api.SendAttempt):
-                    self.post(_unsent_attempt_ended(request.request_id, pending.attempt_count, action.node))
+                    self.post(
+                        _unsent_attempt_ended(request.request_id, pending.attempt_count, action.node_id)
+                    )
 
     async def _run_attempt(
         self,
@@ -243,7 +245,7 @@
                 api.AttemptEnded(
                     request_id=request.request_id,
                     attempt_number=attempt_number,
-                    node=node,
+                    node_id=node,
                     outcome=result.outcome,
                     elapsed_s=self.now() - sent_at,
                     request_settled=settled,
@@ -274,7 +276,7 @@
     return api.AttemptEnded(
         request_id=request_id,
         attempt_number=attempt_number,
-        node=node,
+        node_id=node,
         outcome=api.AttemptOutcome.NOT_SENT,
         elapsed_s=0.0,
         request_settled=True,
--- a/storage_gateway/policy_api/actions.py
+++ b/storage_gateway/policy_api/actions.py
@@ -12,13 +12,13 @@
 
     Attributes:
         request_id: id of the request.
-        node: id of the node.
+        node_id: id of the node.
         first_byte_deadline: time after which the first byte must not be sent, even if the connection was
             established late; infinite for no limit.
     """
 
     request_id: str
-    node: int
+    node_id: int
     first_byte_deadline: float = field(default=math.inf, repr=False, compare=False)
 
 
--- a/storage_gateway/policy_api/events.py
+++ b/storage_gateway/policy_api/events.py
@@ -64,14 +64,14 @@
     """A node in an update of the endpoint list.
 
     Attributes:
-        node: id of the node, which stays the same as long as the node is known.
+        node_id: id of the node, which stays the same as long as the node is known.
         shard: shard that the node holds; ``NO_SHARD`` for none.
         zone: zone of the node.
         state: state of the node in discovery.
         started_at: when the node last started; 0 for long ago.
     """
 
-    node: int
+    node_id: int
     shard: int
     zone: int
     state: EndpointState
@@ -120,7 +120,7 @@
     Attributes:
         request_id: id of the request.
         attempt_number: number of the attempt, counted from 0 for each request.
-        node: id of the node that it was sent to.
+        node_id: id of the node that it was sent to.
         outcome: how the attempt ended.
         elapsed_s: seconds for which it was in flight.
         request_settled: whether the client has received its final response, or none is owed any more.
@@ -130,7 +130,7 @@
 
     request_id: str
     attempt_number: int
-    node: int
+    node_id: int
     outcome: AttemptOutcome
     elapsed_s: float
     request_settled: bool
--- a/storage_gateway/simulator_adapter.py
+++ b/storage_gateway/simulator_adapter.py
@@ -134,7 +134,7 @@
     """Translate one entry of an endpoint list; a missing shard, zone or start time takes its default."""
     shard = entry.get("Pack")
     return api.EndpointEntry(
-        node=entry["Shelf"],
+        node_id=entry["Shelf"],
         shard=api.NO_SHARD if shard is None else shard,
         zone=entry.get("Area") or 0,
         state=ENDPOINT_STATE_BY_NAME[entry["StageState"]],
@@ -198,7 +198,7 @@
     return api.AttemptEnded(
         request_id=event["Req"],
         attempt_number=event["Shot"],
-        node=event["Shelf"],
+        node_id=event["Shelf"],
         outcome=OUTCOME_BY_DISPOSITION[event["Disposition"]],
         elapsed_s=event["SpentS"],
         request_settled=bool(event.get("Settled")),
--- a/tests/policy/test_random_events.py
+++ b/tests/policy/test_random_events.py
@@ -175,7 +175,7 @@
     def check(self, action: api.Action) -> None:
         now = self.deployment.driver.now
         if isinstance(action, api.SendAttempt):
-            self.check_send(action.request_id, action.node, now)
+            self.check_send(action.request_id, action.node_id, now)
         elif isinstance(action, api.RejectRequest | api.FailRequest):
             name = action.request_id
             assert name in self.deployment.open_requests, "more than one final response"
--- a/tests/policy/test_scheduling.py
+++ b/tests/policy/test_scheduling.py
@@ -39,7 +39,7 @@
     driver = PolicyDriver(make_settings(), [make_endpoint_entry(1, 1), make_endpoint_entry(2, 2)])
     driver.nodes[1].queueing_delay_s, driver.nodes[2].queueing_delay_s = 0.2, 0.05
     driver.step(driver.arrival("a", shard=-1), driver.arrival("b", shard=-1))
-    assert [action.node for action in driver.actions if isinstance(action, api.SendAttempt)] == [2, 2]
+    assert [action.node_id for action in driver.actions if isinstance(action, api.SendAttempt)] == [2, 2]
 
 
 def test_reserved_requests_go_before_more_valuable_ones_beyond_the_reservation() -> None:
--- a/tests/project/test_readme.py
+++ b/tests/project/test_readme.py
@@ -14,7 +14,7 @@
     printed = io.StringIO()
     with contextlib.redirect_stdout(printed):
         exec(compile(code, str(README), "exec"), {})
-    assert "SendAttempt(request_id='a', node=11)" in printed.getvalue()
+    assert "SendAttempt(request_id='a', node_id=11)" in printed.getvalue()
 
 
 def test_ci_runs_the_test_command_of_the_readme() -> None:
