--- a/storage_gateway/config/schema.py
+++ b/storage_gateway/config/schema.py
@@ -111,7 +111,7 @@
     Attributes:
         client_connections: maximum number of client connections over HTTP.
         idle_client_connections: number of idle client connections beyond which each connection closes after
-            its response: half of those that clients open.
+            its response: a sixth of the descriptor limit, ``DESCRIPTORS_PER_IDLE_CLIENT`` for each.
         node_connections: maximum number of connections to storage nodes for HTTP requests.
         sftp_sessions: maximum number of SFTP sessions; 0 if the service is off.
     """
@@ -172,7 +172,8 @@
         shard_count: number of shards, which are numbered from 0; 0 if not configured.
         zone_indexes: index of each zone by its name.
         connect_timeout_s: seconds within which a connection to a storage node must be established.
-        idle_close_s: seconds after which an idle connection to a storage node is closed.
+        idle_close_s: seconds after which the storage nodes close an idle connection; the gateway stops
+            reusing its own earlier.
         configured_discovery: the discovery address in the file, even if ``RELAY_DISCOVERY`` overrides it; an
             empty host and port 0 if the file has none.
         sftp: the SFTP service; None if it is off.
--- a/storage_gateway/http/server.py
+++ b/storage_gateway/http/server.py
@@ -146,7 +146,7 @@
         return await self._execute(client_request, arrived_at, connection)
 
     def _respond_to_head(self, request: web.BaseRequest) -> web.Response | None:
-        """Return the response to a request that can be answered from its head alone, else None."""
+        """Return the response to a request if its head alone determines it, else None."""
         if request.path == READINESS_PATH:
             status = HTTPStatus.OK if self.is_ready() else HTTPStatus.SERVICE_UNAVAILABLE
             return web.Response(status=status)
--- a/storage_gateway/policy_state/request.py
+++ b/storage_gateway/policy_state/request.py
@@ -112,7 +112,7 @@
         )
 
     def is_admitted_to(self, node: Node) -> bool:
-        """Return whether the slow start of the node has not turned the request away."""
+        """Return whether the slow start of the node has not rejected the request."""
         return self.slow_start_admitted.get(node.incarnation, True)
 
     def shares_idempotency_memory(self, node: Node) -> bool:
--- a/storage_gateway/sftp/errors.py
+++ b/storage_gateway/sftp/errors.py
@@ -7,7 +7,7 @@
 
 
 class CommandError(GatewayError):
-    """Raised where the gateway itself answers a command with a status, instead of a node.
+    """Raised if the gateway itself responds to a command with a status, instead of a node.
 
     Attributes:
         status_code: the code of the status that the client receives.
--- a/storage_gateway/sftp/request_handler.py
+++ b/storage_gateway/sftp/request_handler.py
@@ -53,7 +53,7 @@
     def handle(self, request: packets.Packet) -> _ResponseCoroutine:
         """Return a coroutine that handles the request and returns its response.
 
-        The coroutine raises CommandError if the gateway itself answers with a status.
+        The coroutine raises CommandError if the gateway itself responds with a status.
         """
         handler = _HANDLERS.get(type(request), RequestHandler._reject_unsupported)
         return handler(self, request)
--- a/tests/service/test_shutdown.py
+++ b/tests/service/test_shutdown.py
@@ -39,7 +39,7 @@
         async def script(trace_id: str) -> bytes:
             if trace_id == "before":
                 await release.wait()
-            if trace_id == "unanswered":
+            if trace_id == "no-response":
                 await asyncio.sleep(60)
             return make_response()
 
@@ -64,7 +64,7 @@
             assert await self.get_status(TARGET, **{"X-Trace-Id": trace_id}) == 200
             await asyncio.sleep(0.1)
         # Its deadline is later than the end of the process; idle connections are closed by then.
-        assert await self.get_status(TARGET, **{"X-Trace-Id": "unanswered"}) in (502, 503)
+        assert await self.get_status(TARGET, **{"X-Trace-Id": "no-response"}) in (502, 503)
         assert loop.time() < shutdown_started_at + 2.2
         assert self.process.stderr
         async with asyncio.timeout(5):
