--- a/tests/http/test_attempt_deadline.py
+++ b/tests/http/test_attempt_deadline.py
@@ -22,7 +22,7 @@
             status, _ = await self.send_request("t")
 
         assert status != 200
-        assert self.node.counts["t"] == 0
+        assert self.node.request_counts["t"] == 0
 
     async def test_request_with_a_key_is_not_retried_after_its_idempotency_window(self) -> None:
         """The second attempt is decided within the window, but its connection opens after it."""
@@ -45,7 +45,7 @@
             status, _ = await self.send_request("t")
 
         assert status != 200
-        assert self.node.counts["t"] == 1
+        assert self.node.request_counts["t"] == 1
         assert len(dial_times) == 2
 
     async def test_cancellation_at_the_attempt_timeout_does_not_affect_other_requests(self) -> None:
--- a/tests/http/test_client_connection.py
+++ b/tests/http/test_client_connection.py
@@ -89,7 +89,7 @@
         client.close()
         await self.wait_until(lambda: not self.server.connections.open)
         assert not connection.has_queued_requests(), "data received after the last response must be dropped"
-        assert self.node.counts["crossing"] == 0
+        assert self.node.request_counts["crossing"] == 0
 
     async def test_client_that_keeps_sending_after_the_last_response_is_disconnected(self) -> None:
         await self.start_server(respond_at_once)
--- a/tests/http/test_client_disconnect.py
+++ b/tests/http/test_client_disconnect.py
@@ -30,7 +30,7 @@
         with self.after_dial(lambda: disconnect(client)):
             client.sendall(encode_request("t"))
             await self.wait_until(lambda: self.node_client.dials and not self.executor.pending)
-        assert self.node.counts["t"] == 0
+        assert self.node.request_counts["t"] == 0
 
     async def test_no_attempt_begins_after_the_client_closes_its_connection(self) -> None:
         await self.disconnect_after_dial(socket.socket.close)
@@ -50,8 +50,8 @@
         client = self.open_socket()
         with mock.patch.object(self.executor.policy.health, "update"):  # so that the retry is due at once
             client.sendall(encode_request("t"))
-            await self.wait_until(lambda: self.node.counts["t"] and not self.executor.pending)
-        assert self.node.counts["t"] == 1
+            await self.wait_until(lambda: self.node.request_counts["t"] and not self.executor.pending)
+        assert self.node.request_counts["t"] == 1
 
 
 class DisconnectWhileQueuedTest(HttpServerCase):
--- a/tests/http/test_node_client.py
+++ b/tests/http/test_node_client.py
@@ -23,7 +23,7 @@
             result = await self.node_client.attempt(NODE_ID, make_client_request("t"), lambda: 1.0)
 
         assert result.outcome == AttemptOutcome.NOT_SENT
-        assert self.node.counts["t"] == 0
+        assert self.node.request_counts["t"] == 0
 
     async def test_drain_closes_the_pool_and_a_refused_connection_is_a_connect_failure(self) -> None:
         await self.start_server(respond_at_once)
@@ -46,7 +46,7 @@
             result = await self.node_client.attempt(NODE_ID, request, lambda: 1.0)
 
         assert result == AttemptResult(AttemptOutcome.CONNECT_FAILED)
-        assert self.node.counts["t"] == 0
+        assert self.node.request_counts["t"] == 0
         assert self.node_client.open_connections == 0
 
     async def test_connection_whose_attempt_has_no_time_left_is_pooled(self) -> None:
--- a/tests/http/test_request_codec.py
+++ b/tests/http/test_request_codec.py
@@ -66,10 +66,10 @@
         self.executor.policy.settings.can_cancel = False
         late = encode_request("late", changes={"X-Expires-In-Ms": "60000"})
         reader, writer = await self.open_stream(late)
-        await self.wait_until(lambda: self.node.counts["late"])
+        await self.wait_until(lambda: self.node.request_counts["late"])
         writer.write(extra_request)  # after a request that is already at the node
         assert await reader.read() == b""
-        assert self.node.counts["x"] == 0
+        assert self.node.request_counts["x"] == 0
         writer.close()
 
 
--- a/tests/http/test_response_parser.py
+++ b/tests/http/test_response_parser.py
@@ -50,7 +50,7 @@
                 result = await self.node_client.attempt(NODE_ID, request, lambda: 1.0)
                 assert result == AttemptResult(AttemptOutcome.CONNECTION_RESET), response[:80]
 
-        assert set(self.node.counts.values()) == {1}
+        assert set(self.node.request_counts.values()) == {1}
         assert self.node.accepted_connections == len(invalid)
         assert self.node_client.open_connections == 0
 
--- a/tests/http/test_server.py
+++ b/tests/http/test_server.py
@@ -38,19 +38,19 @@
         status, _ = await self.send_request("broken", "PUT", b"scan")
 
         assert status == 502
-        assert self.node.counts["broken"] == 1
+        assert self.node.request_counts["broken"] == 1
         assert self.node.accepted_connections == 1, "the request must use the pooled connection"
 
     async def test_write_that_the_node_rejected_unexecuted_is_retried(self) -> None:
         async def respond(trace_id: str) -> bytes:
-            if self.node.counts[trace_id] > 1:
+            if self.node.request_counts[trace_id] > 1:
                 return make_response()
             return make_response(503, b"", "X-Never-Ran: 1")
 
         await self.start_server(respond)
 
         assert (await self.send_request("t", "PUT", b"scan"))[0] == 200
-        assert self.node.counts["t"] == 2
+        assert self.node.request_counts["t"] == 2
 
     async def test_503_without_never_ran_header_is_no_rejection_of_a_write(self) -> None:
         async def respond(trace_id: str) -> bytes:
@@ -59,7 +59,7 @@
         await self.start_server(respond)
 
         assert (await self.send_request("t", "PUT", b"scan"))[0] == 502
-        assert self.node.counts["t"] == 1
+        assert self.node.request_counts["t"] == 1
 
     async def test_unresponsive_node_gets_one_attempt_and_the_client_a_response_in_time(self) -> None:
         await self.start_server(never_respond)
@@ -69,7 +69,7 @@
 
         assert self.executor.now() - started_at < 2.0  # the node would never respond
         assert status == 502
-        assert self.node.counts["t"] == 1
+        assert self.node.request_counts["t"] == 1
         await self.wait_until(
             lambda: self.node.open_connections == 0
         )  # the cancelled attempt's connection is closed
@@ -92,7 +92,7 @@
     async def test_client_that_disconnects_cancels_its_attempt(self) -> None:
         await self.start_server(never_respond)
         sending = asyncio.create_task(self.send_request("t", changes={"X-Expires-In-Ms": "60000"}))
-        await self.wait_until(lambda: self.node.counts["t"])
+        await self.wait_until(lambda: self.node.request_counts["t"])
 
         sending.cancel()
 
@@ -119,13 +119,13 @@
 
         await self.start_server(respond)
         first = asyncio.create_task(self.send_request("t"))
-        await self.wait_until(lambda: self.node.counts["t"])
+        await self.wait_until(lambda: self.node.request_counts["t"])
         assert (await self.send_request("t"))[0] == 400
 
         release.set()
         assert (await first)[0] == 200
         assert (await self.send_request("t"))[0] == 400, "the id is still in use just after its request"
-        assert self.node.counts["t"] == 1
+        assert self.node.request_counts["t"] == 1
 
         with mock.patch.object(self.executor, "clock_offset_s", self.executor.clock_offset_s + 60):
             await self.send_request("u")
--- a/tests/http/test_shutdown.py
+++ b/tests/http/test_shutdown.py
@@ -17,7 +17,7 @@
         await self.start_server(never_respond)
         self.server.config.client_timeouts_s[1] = 60.0  # far longer than the process may still run
         sending = asyncio.create_task(self.send_request("t", "PUT", b"scan", {"X-Expires-In-Ms": "60000"}))
-        await self.wait_until(lambda: self.node.counts["t"])
+        await self.wait_until(lambda: self.node.request_counts["t"])
 
         self.executor.begin_shutdown(0.2)
 
@@ -45,7 +45,7 @@
             status, _ = await self.send_request("t")
 
         assert status in (502, 503)
-        assert self.node.counts["t"] == 0
+        assert self.node.request_counts["t"] == 0
 
     async def test_request_in_the_backlog_of_the_closing_listener_is_served(self) -> None:
         await self.start_server(respond_at_once)
--- a/tests/support/peers.py
+++ b/tests/support/peers.py
@@ -84,14 +84,14 @@
 
     Attributes:
         heads: the head of each complete request.
-        counts: number of complete requests by trace id.
+        request_counts: number of complete requests by trace id.
     """
 
     def __init__(self, script: Script) -> None:
         super().__init__()
         self.script = script
         self.heads: list[str] = []
-        self.counts: defaultdict[str, int] = defaultdict(int)
+        self.request_counts: defaultdict[str, int] = defaultdict(int)
         self._arrived: defaultdict[str, asyncio.Event] = defaultdict(asyncio.Event)
 
     async def wait_for_request(self, trace_id: str) -> None:
@@ -114,7 +114,7 @@
         await reader.readexactly(int(fields.get("Content-Length", 0)))
         trace_id = fields["X-Trace-Id"]
         self.heads.append(head)
-        self.counts[trace_id] += 1
+        self.request_counts[trace_id] += 1
         self._arrived[trace_id].set()
         return trace_id
 
