--- a/storage_gateway/config/schema.py
+++ b/storage_gateway/config/schema.py
@@ -111,7 +111,7 @@
     Attributes:
         client_connections: maximum number of client connections over HTTP.
         idle_client_connections: number of idle client connections beyond which each connection closes after
-            its response: half of those that clients open.
+            its response: a sixth of the descriptor limit, ``DESCRIPTORS_PER_IDLE_CLIENT`` for each.
         node_connections: maximum number of connections to storage nodes for HTTP requests.
         sftp_sessions: maximum number of SFTP sessions; 0 if the service is off.
     """
@@ -122,7 +122,7 @@
     sftp_sessions: int
 
     @classmethod
-    def of(cls, max_descriptors: int, sftp_enabled: bool) -> ConnectionBudget:
+    def from_descriptor_limit(cls, max_descriptors: int, sftp_enabled: bool) -> ConnectionBudget:
         """Allocate the descriptors of a process that may open ``max_descriptors`` of them."""
         available = max_descriptors - RESERVED_DESCRIPTORS
         sessions = (
@@ -163,7 +163,7 @@
             set at the start and no reload has replaced it since.
         seed: seed of the instance's random numbers.
         connection_budget: limits on the numbers of connections.
-        known_endpoints: an earlier endpoint list in discovery's JSON format, not yet checked; empty for none.
+        cached_endpoints: an earlier endpoint list in discovery's JSON format, unchecked; empty for none.
         settings: the policy's settings.
         class_indexes: index of each request class by its name.
         plan_indexes: index of each plan by its name.
@@ -172,7 +172,8 @@
         shard_count: number of shards, which are numbered from 0; 0 if not configured.
         zone_indexes: index of each zone by its name.
         connect_timeout_s: seconds within which a connection to a storage node must be established.
-        idle_close_s: seconds after which an idle connection to a storage node is closed.
+        idle_close_s: seconds after which the storage nodes close an idle connection; the gateway stops
+            reusing its own earlier.
         configured_discovery: the discovery address in the file, even if ``RELAY_DISCOVERY`` overrides it; an
             empty host and port 0 if the file has none.
         sftp: the SFTP service; None if it is off.
@@ -184,7 +185,7 @@
     discovery: Address
     seed: int
     connection_budget: ConnectionBudget = field(metadata=DEFERRED_ON_RELOAD)
-    known_endpoints: Any
+    cached_endpoints: Any
     settings: api.Settings = field(metadata=DEFERRED_ON_RELOAD)
     class_indexes: dict[str, int] = field(metadata=DEFERRED_ON_RELOAD)
     plan_indexes: dict[str, int] = field(metadata=DEFERRED_ON_RELOAD)
@@ -206,7 +207,7 @@
         """Adopt the discovery address of a configuration that has been read again.
 
         An address that has changed in the file overrides ``RELAY_DISCOVERY``, as the environment of a running
-        process cannot be changed from outside. ``known_endpoints`` and ``seed`` apply only at a start, and
+        process cannot be changed from outside. ``cached_endpoints`` and ``seed`` apply only at a start, and
         their changes are not reported. The policy's settings hold the seed too, so it is copied into ``new``
         before they are compared.
         """
--- a/tests/http/test_shutdown.py
+++ b/tests/http/test_shutdown.py
@@ -17,13 +17,13 @@
         await self.start_server(never_respond)
         self.server.config.client_timeouts_s[1] = 60.0  # far longer than the process may still run
         sending = asyncio.create_task(self.send_request("t", "PUT", b"scan", {"X-Expires-In-Ms": "60000"}))
-        await self.wait_until(lambda: self.node.counts["t"])
+        await self.wait_until(lambda: self.node.request_counts["t"])
 
         self.executor.begin_shutdown(0.2)
 
         async with asyncio.timeout(5):
             assert (await sending)[0] == 502  # the node may have executed it
-        await self.wait_until(lambda: self.node.open == 0 and not self.executor.pending)
+        await self.wait_until(lambda: self.node.open_connections == 0 and not self.executor.pending)
 
     async def test_request_that_is_queued_at_shutdown_is_rejected_and_not_sent(self) -> None:
         await self.start_server(never_respond)
@@ -36,7 +36,7 @@
 
             async with asyncio.timeout(5):
                 assert (await sending)[0] == 503
-        assert self.node.accepted == 0
+        assert self.node.accepted_connections == 0
 
     async def test_no_attempt_begins_after_the_response_deadline(self) -> None:
         await self.start_server(respond_at_once)
@@ -45,7 +45,7 @@
             status, _ = await self.send_request("t")
 
         assert status in (502, 503)
-        assert self.node.counts["t"] == 0
+        assert self.node.request_counts["t"] == 0
 
     async def test_request_in_the_backlog_of_the_closing_listener_is_served(self) -> None:
         await self.start_server(respond_at_once)
