--- a/storage_gateway/policy_api/actions.py
+++ b/storage_gateway/policy_api/actions.py
@@ -12,13 +12,13 @@
 
     Attributes:
         request_id: id of the request.
-        node: id of the node.
+        node_id: id of the node.
         first_byte_deadline: time after which the first byte must not be sent, even if the connection was
             established late; infinite for no limit.
     """
 
     request_id: str
-    node: int
+    node_id: int
     first_byte_deadline: float = field(default=math.inf, repr=False, compare=False)
 
 
@@ -39,10 +39,10 @@
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Cancel the attempt with this number."""
+    """Cancel the attempt with this number, counted from 0 for each request."""
 
     request_id: str
-    attempt: int
+    attempt_number: int
 
 
 @dataclass(slots=True)
--- a/storage_gateway/simulator_adapter.py
+++ b/storage_gateway/simulator_adapter.py
@@ -87,7 +87,7 @@
         """
         event_type = wire_event["type"]
         if event_type == "CATALOG":
-            entries = [read_entry(entry) for entry in wire_event["Elements"]]
+            entries = [read_endpoint_entry(entry) for entry in wire_event["Elements"]]
             self._endpoint_lists[wire_event["Slot"]] = entries
             return
         instance = wire_event["Head"]
@@ -130,11 +130,11 @@
     return run_program("simulator_adapter", lambda: serve(sys.stdin, sys.stdout), WireFormatError)
 
 
-def read_entry(entry: WireObject) -> api.EndpointEntry:
+def read_endpoint_entry(entry: WireObject) -> api.EndpointEntry:
     """Translate one entry of an endpoint list; a missing shard, zone or start time takes its default."""
     shard = entry.get("Pack")
     return api.EndpointEntry(
-        node=entry["Shelf"],
+        node_id=entry["Shelf"],
         shard=api.NO_SHARD if shard is None else shard,
         zone=entry.get("Area") or 0,
         state=ENDPOINT_STATE_BY_NAME[entry["StageState"]],
@@ -165,8 +165,8 @@
             return {"type": "SAY_NO", "Head": instance, "Req": request_id, "WaitS": retry_after_s}
         case api.FailRequest(request_id):
             return {"type": "SURRENDER", "Head": instance, "Req": request_id}
-        case api.CancelAttempt(request_id, attempt):
-            return {"type": "DROP_ATTEMPT", "Head": instance, "Req": request_id, "Shot": attempt}
+        case api.CancelAttempt(request_id, attempt_number):
+            return {"type": "DROP_ATTEMPT", "Head": instance, "Req": request_id, "Shot": attempt_number}
         case api.SetTimer(delay_s, timer_id):
             return {"type": "TIMER", "Head": instance, "AfterS": delay_s, "Ref": timer_id}
         case api.WatchEndpoints():
@@ -197,8 +197,8 @@
 def _read_attempt_ended(event: WireObject) -> api.AttemptEnded:
     return api.AttemptEnded(
         request_id=event["Req"],
-        attempt=event["Shot"],
-        node=event["Shelf"],
+        attempt_number=event["Shot"],
+        node_id=event["Shelf"],
         outcome=OUTCOME_BY_DISPOSITION[event["Disposition"]],
         elapsed_s=event["SpentS"],
         request_settled=bool(event.get("Settled")),
--- a/tests/http/test_server.py
+++ b/tests/http/test_server.py
@@ -7,7 +7,7 @@
 
 from storage_gateway.policy_api import EndpointState
 from tests.support.endpoints import apply_endpoints, make_endpoint
-from tests.support.http import NODE, TARGET, HttpServerCase
+from tests.support.http import NODE_ID, TARGET, HttpServerCase
 from tests.support.peers import make_response, never_respond, respond_at_once
 
 
@@ -33,24 +33,24 @@
 
         await self.start_server(respond)
         await self.send_request("warm")
-        self.node_client.pools[NODE].idle[0].reusable_at = 0.0
+        self.node_client.pools[NODE_ID].idle[0].reusable_at = 0.0
 
         status, _ = await self.send_request("broken", "PUT", b"scan")
 
         assert status == 502
-        assert self.node.counts["broken"] == 1
-        assert self.node.accepted == 1, "the request must use the pooled connection"
+        assert self.node.request_counts["broken"] == 1
+        assert self.node.accepted_connections == 1, "the request must use the pooled connection"
 
     async def test_write_that_the_node_rejected_unexecuted_is_retried(self) -> None:
         async def respond(trace_id: str) -> bytes:
-            if self.node.counts[trace_id] > 1:
+            if self.node.request_counts[trace_id] > 1:
                 return make_response()
             return make_response(503, b"", "X-Never-Ran: 1")
 
         await self.start_server(respond)
 
         assert (await self.send_request("t", "PUT", b"scan"))[0] == 200
-        assert self.node.counts["t"] == 2
+        assert self.node.request_counts["t"] == 2
 
     async def test_503_without_never_ran_header_is_no_rejection_of_a_write(self) -> None:
         async def respond(trace_id: str) -> bytes:
@@ -59,7 +59,7 @@
         await self.start_server(respond)
 
         assert (await self.send_request("t", "PUT", b"scan"))[0] == 502
-        assert self.node.counts["t"] == 1
+        assert self.node.request_counts["t"] == 1
 
     async def test_unresponsive_node_gets_one_attempt_and_the_client_a_response_in_time(self) -> None:
         await self.start_server(never_respond)
@@ -69,14 +69,16 @@
 
         assert self.executor.now() - started_at < 2.0  # the node would never respond
         assert status == 502
-        assert self.node.counts["t"] == 1
-        await self.wait_until(lambda: self.node.open == 0)  # the cancelled attempt's connection is closed
+        assert self.node.request_counts["t"] == 1
+        await self.wait_until(
+            lambda: self.node.open_connections == 0
+        )  # the cancelled attempt's connection is closed
 
     async def test_request_with_almost_no_time_left_is_rejected_without_an_attempt(self) -> None:
         await self.start_server(never_respond)
 
         assert (await self.send_request("t", "PUT", b"scan", {"X-Expires-In-Ms": "1"}))[0] == 503
-        assert self.node.accepted == 0
+        assert self.node.accepted_connections == 0
 
     async def test_client_timeout_is_capped_by_that_of_the_request_class(self) -> None:
         await self.start_server(never_respond)
@@ -90,11 +92,11 @@
     async def test_client_that_disconnects_cancels_its_attempt(self) -> None:
         await self.start_server(never_respond)
         sending = asyncio.create_task(self.send_request("t", changes={"X-Expires-In-Ms": "60000"}))
-        await self.wait_until(lambda: self.node.counts["t"])
+        await self.wait_until(lambda: self.node.request_counts["t"])
 
         sending.cancel()
 
-        await self.wait_until(lambda: self.node.open == 0 and not self.executor.pending)
+        await self.wait_until(lambda: self.node.open_connections == 0 and not self.executor.pending)
         assert sum(node.in_flight_count for node in self.executor.policy.state.nodes.by_id.values()) == 0
 
     async def test_request_without_a_serving_node_is_rejected_at_once(self) -> None:
@@ -106,7 +108,7 @@
         assert (await self.send_request("t"))[0] == 503
 
         assert self.executor.now() - started_at < 1.4  # not queued until the deadline
-        assert self.node.accepted == 0
+        assert self.node.accepted_connections == 0
 
     async def test_trace_id_in_use_is_rejected_without_affecting_the_first_request(self) -> None:
         release = asyncio.Event()
@@ -117,13 +119,13 @@
 
         await self.start_server(respond)
         first = asyncio.create_task(self.send_request("t"))
-        await self.wait_until(lambda: self.node.counts["t"])
+        await self.wait_until(lambda: self.node.request_counts["t"])
         assert (await self.send_request("t"))[0] == 400
 
         release.set()
         assert (await first)[0] == 200
         assert (await self.send_request("t"))[0] == 400, "the id is still in use just after its request"
-        assert self.node.counts["t"] == 1
+        assert self.node.request_counts["t"] == 1
 
         with mock.patch.object(self.executor, "clock_offset_s", self.executor.clock_offset_s + 60):
             await self.send_request("u")
