--- a/storage_gateway/policy_api/events.py
+++ b/storage_gateway/policy_api/events.py
@@ -64,14 +64,14 @@
     """A node in an update of the endpoint list.
 
     Attributes:
-        node_id: id of the node, which stays the same as long as the node is known.
+        id: id of the node, which stays the same as long as the node is known.
         shard: shard that the node holds; ``NO_SHARD`` for none.
         zone: zone of the node.
         state: state of the node in discovery.
         started_at: when the node last started; 0 for long ago.
     """
 
-    node_id: int
+    id: int
     shard: int
     zone: int
     state: EndpointState
--- a/storage_gateway/policy_state/node.py
+++ b/storage_gateway/policy_state/node.py
@@ -83,7 +83,7 @@
     ) -> Node:
         """Create the record of a node that is listed for the first time, for this number of classes."""
         return cls(
-            node_id=entry.node_id,
+            node_id=entry.id,
             shard=entry.shard,
             zone=entry.zone,
             concurrency_limit=concurrency_limit,
@@ -92,7 +92,7 @@
             class_demand=[0.0] * classes,
             queueing_delay_s=queueing_delay_s,
             excess_rate=excess_rate,
-            incarnation=NodeIncarnation(entry.node_id, 0.0),
+            incarnation=NodeIncarnation(entry.id, 0.0),
         )
 
     @property
--- a/storage_gateway/policy_state/node_table.py
+++ b/storage_gateway/policy_state/node_table.py
@@ -44,12 +44,12 @@
         self, entry: EndpointEntry, concurrency_limit: float, queueing_delay_s: float, now: float
     ) -> None:
         """Apply an entry of the endpoint list; the limit and the delay are initial values of a new node."""
-        node = self.by_id.get(entry.node_id)
+        node = self.by_id.get(entry.id)
         if node is None:
             node = Node.from_entry(
                 entry, self._classes, concurrency_limit, queueing_delay_s, self.min_excess_rate
             )
-            self.by_id[entry.node_id] = node
+            self.by_id[entry.id] = node
         node.serving = entry.state is EndpointState.SERVING
         if entry.started_at > node.started_at:
             node.restart(entry.started_at, now)
--- a/storage_gateway/simulator_adapter.py
+++ b/storage_gateway/simulator_adapter.py
@@ -134,7 +134,7 @@
     """Translate one entry of an endpoint list; a missing shard, zone or start time takes its default."""
     shard = entry.get("Pack")
     return api.EndpointEntry(
-        node_id=entry["Shelf"],
+        id=entry["Shelf"],
         shard=api.NO_SHARD if shard is None else shard,
         zone=entry.get("Area") or 0,
         state=ENDPOINT_STATE_BY_NAME[entry["StageState"]],
--- a/tests/endpoints/test_discovery.py
+++ b/tests/endpoints/test_discovery.py
@@ -46,7 +46,7 @@
         full = (api.EndpointUpdateKind.SNAPSHOT, EndpointState.SERVING)
         draining = (api.EndpointUpdateKind.DELTA, EndpointState.DRAINING)
         assert [(event.kind, event.entries[0].state) for event in changes] == [full, full, draining]
-        assert len({event.entries[0].node_id for event in changes}) == 1
+        assert len({event.entries[0].id for event in changes}) == 1
         assert not registry.is_serving(1)
 
     async def test_move_applies_the_new_whole_list_and_keeps_the_old_watch_until_then(self) -> None:
