--- a/storage_gateway/lifecycle.py
+++ b/storage_gateway/lifecycle.py
@@ -217,7 +217,7 @@
         The end is posted only once the attempt's connection is free or closed, so that a request never has
         two attempts in flight.
         """
-        attempt_number = pending.attempt_count
+        current_attempt = pending.attempt_count
         pending.attempt_count += 1
         sent_at = self.now()
         may_have_executed_before = pending.may_have_executed
@@ -244,7 +244,7 @@
             self.post(
                 api.AttemptEnded(
                     request_id=request.request_id,
-                    attempt_number=attempt_number,
+                    attempt_number=current_attempt,
                     node_id=node,
                     outcome=result.outcome,
                     elapsed_s=self.now() - sent_at,
@@ -272,10 +272,10 @@
         self._policy_timer = self.loop.call_at(due, self.post, api.TimerFired(timer_id))
 
 
-def _unsent_attempt_ended(request_id: str, attempt_number: int, node: int) -> api.AttemptEnded:
+def _unsent_attempt_ended(request_id: str, unsent_attempt: int, node: int) -> api.AttemptEnded:
     return api.AttemptEnded(
         request_id=request_id,
-        attempt_number=attempt_number,
+        attempt_number=unsent_attempt,
         node_id=node,
         outcome=api.AttemptOutcome.NOT_SENT,
         elapsed_s=0.0,
