--- a/storage_gateway/aiohttp_middleware.py
+++ b/storage_gateway/aiohttp_middleware.py
@@ -64,13 +64,13 @@
     handler: Handler
     last_response: web.StreamResponse | None = None
 
-    async def attempt(self, node: int) -> AttemptResult[web.StreamResponse]:
+    async def attempt(self, node_id: int) -> AttemptResult[web.StreamResponse]:
         """Run the handler for this node.
 
         A response whose transmission to the client has begun counts as served whatever its status, as it
         cannot be replaced any more.
         """
-        self.request[NODE] = node
+        self.request[NODE] = node_id
         try:
             response = await self.handler(self.request)
         except NotExecutedError:
--- a/storage_gateway/endpoints/registry.py
+++ b/storage_gateway/endpoints/registry.py
@@ -70,9 +70,9 @@
         self._next_id = count(1)
         self._removed_names: dict[str, None] = {}  # names of removed endpoints, the oldest first
 
-    def is_serving(self, node: int) -> bool:
+    def is_serving(self, node_id: int) -> bool:
         """Return whether the endpoint is listed as serving."""
-        endpoint = self.endpoints.get(node)
+        endpoint = self.endpoints.get(node_id)
         return endpoint is not None and endpoint.state is api.EndpointState.SERVING
 
     def apply(self, update: EndpointUpdate) -> list[api.EndpointEntry]:
@@ -89,19 +89,19 @@
     def _apply_endpoint(self, endpoint: Endpoint) -> api.EndpointEntry:
         if endpoint.name not in self.node_ids:
             self.node_ids[endpoint.name] = next(self._next_id)
-        node = self.node_ids[endpoint.name]
+        node_id = self.node_ids[endpoint.name]
         if endpoint.state is api.EndpointState.REMOVED:
-            self.endpoints.pop(node, None)
+            self.endpoints.pop(node_id, None)
         else:
-            self.endpoints[node] = endpoint
+            self.endpoints[node_id] = endpoint
         zone_index = self.zone_indexes.setdefault(endpoint.zone, len(self.zone_indexes))
-        return api.EndpointEntry(node, endpoint.shard, zone_index, endpoint.state, endpoint.started_at)
+        return api.EndpointEntry(node_id, endpoint.shard, zone_index, endpoint.state, endpoint.started_at)
 
     def _notify_listeners(self, previous_endpoints: dict[int, Endpoint]) -> None:
-        for node, endpoint in previous_endpoints.items():
-            if self.endpoints.get(node) != endpoint:
+        for node_id, endpoint in previous_endpoints.items():
+            if self.endpoints.get(node_id) != endpoint:
                 for listener in self.listeners:
-                    listener(node)
+                    listener(node_id)
 
     def _evict_removed(self) -> None:
         """Drop the ids of the endpoints that were removed first, beyond ``MAX_REMOVED_ENDPOINTS``.
@@ -109,7 +109,7 @@
         Otherwise memory would grow without bound in an instance that runs for long while nodes are
         continually replaced under new names.
         """
-        unlisted_names = [name for name, node in self.node_ids.items() if node not in self.endpoints]
+        unlisted_names = [name for name, node_id in self.node_ids.items() if node_id not in self.endpoints]
         self._removed_names = {
             name: None for name in self._removed_names if self.node_ids[name] not in self.endpoints
         }
--- a/storage_gateway/http/node_client.py
+++ b/storage_gateway/http/node_client.py
@@ -55,23 +55,23 @@
         return self._connection_count.open
 
     async def attempt(
-        self, node: int, request: ClientRequest, time_left: Callable[[], float]
+        self, node_id: int, request: ClientRequest, time_left: Callable[[], float]
     ) -> AttemptResult[bytes]:
         """Send the request to the node once.
 
         Args:
-            node: the node's id in the registry.
+            node_id: the node's id in the registry.
             request: the client's request.
             time_left: returns the seconds that remain for the attempt, 0 if the client has disconnected.
 
         Returns:
             The result. Its outcome says that the node has not executed the request only if that is certain.
         """
-        if not self._registry.is_serving(node):
+        if not self._registry.is_serving(node_id):
             return AttemptResult(AttemptOutcome.NOT_SENT)
-        pool = self.pools.get(node)
+        pool = self.pools.get(node_id)
         if pool is None:
-            pool = self._add_pool(node)
+            pool = self._add_pool(node_id)
         connection: NodeConnection | None = None
         is_reusable = False
         self._connection_count.open += 1
@@ -134,18 +134,18 @@
 
     def close(self) -> None:
         """Close the idle connections; connections in use close after their exchange."""
-        for node in list(self.pools):
-            self._retire_pool(node)
+        for node_id in list(self.pools):
+            self._retire_pool(node_id)
 
-    def _add_pool(self, node: int) -> ConnectionPool:
-        address = self._registry.endpoints[node].address
+    def _add_pool(self, node_id: int) -> ConnectionPool:
+        address = self._registry.endpoints[node_id].address
         pool = ConnectionPool(address, self._idle_timeout_s, self._connection_count)
-        self.pools[node] = pool
+        self.pools[node_id] = pool
         return pool
 
-    def _retire_pool(self, node: int) -> None:
+    def _retire_pool(self, node_id: int) -> None:
         """Retire the pool of an endpoint that drains, was removed or restarted; no connection is reused."""
-        pool = self.pools.pop(node, None)
+        pool = self.pools.pop(node_id, None)
         if pool is not None:
             pool.retire()
 
--- a/storage_gateway/http/server.py
+++ b/storage_gateway/http/server.py
@@ -171,8 +171,8 @@
         def time_left() -> float:
             return 0.0 if connection.client_has_closed() else self.executor.attempt_time_left(request_id)
 
-        async def attempt(node: int) -> AttemptResult[bytes]:
-            return await self.node_client.attempt(node, client_request, time_left)
+        async def attempt(node_id: int) -> AttemptResult[bytes]:
+            return await self.node_client.attempt(node_id, client_request, time_left)
 
         try:
             result = await self.executor.execute(arrival, attempt)
--- a/storage_gateway/lifecycle.py
+++ b/storage_gateway/lifecycle.py
@@ -180,9 +180,9 @@
             async with asyncio.timeout_at(response_due) as pending.response_timer:
                 while True:
                     match await pending.actions.get():
-                        case api.SendAttempt(_, node, first_byte_deadline):
+                        case api.SendAttempt(_, node_id, first_byte_deadline):
                             pending.first_byte_deadline = first_byte_deadline
-                            result = await self._run_attempt(request, pending, node, make_attempt)
+                            result = await self._run_attempt(request, pending, node_id, make_attempt)
                             if result.outcome is api.AttemptOutcome.SERVED:
                                 return Served(result.value)
                         case api.RejectRequest(_, retry_after_s):
@@ -209,7 +209,7 @@
         self,
         request: api.RequestArrived,
         pending: PendingRequest,
-        node: int,
+        node_id: int,
         make_attempt: AttemptFunction[T],
     ) -> AttemptResult[T]:
         """Run one attempt until it ends, its timer expires, or the policy cancels it through that timer.
@@ -227,7 +227,7 @@
         try:
             attempt_due = pending.deadline - ATTEMPT_MARGIN_S - self.clock_offset_s
             async with asyncio.timeout_at(attempt_due) as pending.attempt_timer:
-                result = await make_attempt(node)
+                result = await make_attempt(node_id)
             settled = result.outcome is api.AttemptOutcome.SERVED
         except TimeoutError:
             settled = False
@@ -235,7 +235,7 @@
             outcome = api.AttemptOutcome.TIMEOUT if is_overdue else api.AttemptOutcome.CANCELLED
             result = AttemptResult(outcome)
         except Exception:
-            log.exception("attempt_failed", node=node)
+            log.exception("attempt_failed", node=node_id)
             settled = False
             result = AttemptResult(api.AttemptOutcome.CONNECTION_RESET)  # the node may have executed it
         finally:
@@ -245,7 +245,7 @@
                 api.AttemptEnded(
                     request_id=request.request_id,
                     attempt_number=current_attempt,
-                    node_id=node,
+                    node_id=node_id,
                     outcome=result.outcome,
                     elapsed_s=self.now() - sent_at,
                     request_settled=settled,
@@ -272,11 +272,11 @@
         self._policy_timer = self.loop.call_at(due, self.post, api.TimerFired(timer_id))
 
 
-def _unsent_attempt_ended(request_id: str, unsent_attempt: int, node: int) -> api.AttemptEnded:
+def _unsent_attempt_ended(request_id: str, unsent_attempt: int, node_id: int) -> api.AttemptEnded:
     return api.AttemptEnded(
         request_id=request_id,
         attempt_number=unsent_attempt,
-        node_id=node,
+        node_id=node_id,
         outcome=api.AttemptOutcome.NOT_SENT,
         elapsed_s=0.0,
         request_settled=True,
--- a/storage_gateway/sftp/node_client.py
+++ b/storage_gateway/sftp/node_client.py
@@ -51,17 +51,17 @@
 
     def close(self) -> None:
         """Close all idle connections."""
-        for node in list(self._idle):
-            self._drop_idle(node)
+        for node_id in list(self._idle):
+            self._drop_idle(node_id)
 
-    async def attempt(self, node: int, command: Command) -> AttemptResult[Packet]:
+    async def attempt(self, node_id: int, command: Command) -> AttemptResult[Packet]:
         """Execute the command once.
 
         A connection that breaks once a byte of the command may have been written results in
         ``CONNECTION_RESET``: the node may have executed the command.
         """
         try:
-            connection = await self._connect(node, must_be_new=command.is_write)
+            connection = await self._connect(node_id, must_be_new=command.is_write)
         except EndpointNotServingError:
             return AttemptResult(AttemptOutcome.NOT_SENT)
         except NotSentError:
@@ -73,13 +73,13 @@
             return AttemptResult(AttemptOutcome.CONNECTION_RESET)
         finally:
             # Also runs on cancellation: no connection of this attempt is in use when the next one is sent.
-            if response is None or not self._keep_idle(node, connection):
+            if response is None or not self._keep_idle(node_id, connection):
                 connection.abort()
         if isinstance(response, Status) and response.code == StatusCode.FAILURE:
             return AttemptResult(AttemptOutcome.ERROR)
         return AttemptResult(AttemptOutcome.SERVED, response)  # any other status goes to the client
 
-    async def _connect(self, node: int, must_be_new: bool) -> SftpConnection:
+    async def _connect(self, node_id: int, must_be_new: bool) -> SftpConnection:
         """Return a connection to a serving node, ready for a command.
 
         A write gets a new connection: on a reused one, a break before the node received the command could not
@@ -89,20 +89,20 @@
             EndpointNotServingError: the node is not serving.
             NotSentError: the connection could not be established.
         """
-        endpoint = self._registry.endpoints.get(node)
-        if endpoint is None or not self._registry.is_serving(node):
+        endpoint = self._registry.endpoints.get(node_id)
+        if endpoint is None or not self._registry.is_serving(node_id):
             raise EndpointNotServingError
-        connection = None if must_be_new else self._take_idle(node)
+        connection = None if must_be_new else self._take_idle(node_id)
         if connection is None:
             connection = await self._open_connection(endpoint)
-        if not self._registry.is_serving(node):  # discovery may have changed it meanwhile
+        if not self._registry.is_serving(node_id):  # discovery may have changed it meanwhile
             connection.abort()
             raise EndpointNotServingError
         return connection
 
-    def _take_idle(self, node: int) -> SftpConnection | None:
+    def _take_idle(self, node_id: int) -> SftpConnection | None:
         now = asyncio.get_running_loop().time()
-        idle = self._idle[node]
+        idle = self._idle[node_id]
         while idle:
             connection = idle.pop()
             if connection.is_usable() and now - connection.idle_since < self._max_reuse_idle_s:
@@ -129,19 +129,19 @@
                 writer.transport.abort()
             raise
 
-    def _keep_idle(self, node: int, connection: SftpConnection) -> bool:
+    def _keep_idle(self, node_id: int, connection: SftpConnection) -> bool:
         """Keep the connection for a later command; return False if it must not be reused."""
-        if not connection.is_usable() or not self._registry.is_serving(node):
+        if not connection.is_usable() or not self._registry.is_serving(node_id):
             return False
-        if len(self._idle[node]) >= MAX_IDLE_PER_NODE:
+        if len(self._idle[node_id]) >= MAX_IDLE_PER_NODE:
             return False
         if sum(map(len, self._idle.values())) >= self._max_idle:  # file descriptor budget
             return False
         connection.idle_since = asyncio.get_running_loop().time()
-        self._idle[node].append(connection)
+        self._idle[node_id].append(connection)
         return True
 
-    def _drop_idle(self, node: int) -> None:
+    def _drop_idle(self, node_id: int) -> None:
         """Close the idle connections to a node that is draining, was removed or has restarted."""
-        for connection in self._idle.pop(node, []):
+        for connection in self._idle.pop(node_id, []):
             connection.abort()
--- a/storage_gateway/sftp/scheduler.py
+++ b/storage_gateway/sftp/scheduler.py
@@ -45,7 +45,9 @@
             CommandError: the path is not within any volume, or the command was rejected or failed.
         """
         arrival = self._make_arrival(command, path, item, size_bytes)
-        result = await self._executor.execute(arrival, lambda node: self._node_client.attempt(node, command))
+        result = await self._executor.execute(
+            arrival, lambda node_id: self._node_client.attempt(node_id, command)
+        )
         match result:
             case Served(value=response) if response is not None:
                 return response
