--- a/storage_gateway/policy/slow_start.py
+++ b/storage_gateway/policy/slow_start.py
@@ -10,9 +10,10 @@
 
 
 class SlowStart:
-    """Admits each request to a warming node at random, with a probability that keeps the load permitted.
+    """Admits each request to a warming node at random.
 
-    With a fixed equal share, many instances could each save up tokens and send them in the same burst.
+    The probability keeps the load of all instances within what the node withstands. With a fixed equal share,
+    many instances could each save up tokens and send them in the same burst.
     """
 
     def __init__(self, state: PolicyState) -> None:
@@ -48,7 +49,10 @@
         return clamp((rate - higher_priority_rate) / max(same_priority_rate, 1e-9), 0.0, maximum)
 
     def _permitted_rate(self, node: Node, age_s: float) -> float:
-        """Return the units a second that this instance may send: at least its share of the stated ones."""
+        """Return the units a second that this instance may send.
+
+        They are at least an equal share of ``Settings.slow_start_units`` in each overload window.
+        """
         instance_count, safety = self.state.gateway_count, self.safety
         base_rate = self.state.nodes.usual_rate(node.shard, instance_count)
         minimum = self.state.settings.slow_start_units / safety.overload_window_s / instance_count
