--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -32,7 +32,7 @@
     assert final_responses(driver.submit("no slot", deadline=driver.now + 0.06), "no slot") == [
         api.RejectRequest
     ]
-    assert "no time" not in driver.sent()
+    assert "no time" not in driver.sent_request_ids()
 
 
 def test_queued_request_is_rejected_when_it_turns_late() -> None:
@@ -92,17 +92,18 @@
     node = driver.nodes[1]
     node.excess_rate = 0.5  # units a second; the bucket holds one second of it
     driver.step(*[driver.arrival(f"r{number}", units=5.0, deadline=driver.now + 20) for number in range(4)])
-    assert driver.sent() == ["r0", "r1", "r2"]  # two within the reservation, one from the full bucket
+    # Two are within the reservation, one is from the full bucket.
+    assert driver.sent_request_ids() == ["r0", "r1", "r2"]
     for name in ("r0", "r1", "r2"):
         driver.end_attempt(name, api.AttemptOutcome.SERVED)
     driver.submit("reserved", volume_id=2)
-    assert driver.sent()[3:] == ["reserved"]
+    assert driver.sent_request_ids()[3:] == ["reserved"]
     driver.end_attempt("reserved", api.AttemptOutcome.SERVED)
     node.excess_rate = 0.6
     driver.run_until(driver.now + 7.0)  # a debt of 4.5 units takes 7.5 s
-    assert "r3" not in driver.sent()
+    assert "r3" not in driver.sent_request_ids()
     driver.run_until(driver.now + 1.0)
-    assert driver.sent()[4:] == ["r3"]
+    assert driver.sent_request_ids()[4:] == ["r3"]
 
 
 def test_plan_with_larger_excess_weight_gets_more_of_the_excess_rate() -> None:
@@ -117,12 +118,12 @@
         )
     for volume in driver.volumes.values():
         volume.reserved_units.clear()
-    sent_before = len(driver.sent())
+    sent_before = len(driver.sent_request_ids())
     for _ in range(200):
         driver.run_until(driver.now + 0.02)
         driver.end_all_attempts(0.01)
         driver.nodes[1].excess_rate = 1.0
-    sent_later = driver.sent()[sent_before:]
+    sent_later = driver.sent_request_ids()[sent_before:]
     light_count = sum(name.startswith("light") for name in sent_later)
     assert 2 * light_count < len(sent_later) - light_count
 
@@ -169,7 +170,7 @@
             driver.submit(f"r{number}", gateway_count=gateway_count)
             driver.run_until(driver.now + 0.2)
             driver.end_all_attempts(0.6)  # over the latency objective: the rate stays at its minimum
-        return len(driver.sent())
+        return len(driver.sent_request_ids())
 
     assert sent_count(16) <= sent_count(1) / 4
 
@@ -188,7 +189,7 @@
             driver.run_until(driver.now + 0.2)
             for name in [name for name, request in driver.requests.items() if request.in_flight]:
                 driver.end_attempt(name, api.AttemptOutcome.SERVED, node=1, elapsed_s=0.05)
-        return len(driver.sent())
+        return len(driver.sent_request_ids())
 
     assert sent_count(8) <= sent_count(1) + 8
     driver = PolicyDriver(make_settings(), [make_endpoint_entry(1, 1)])
@@ -229,14 +230,14 @@
     driver.step(
         driver.arrival("a", units=2.0, gateway_count=2), driver.arrival("b", units=2.0, gateway_count=2)
     )
-    assert driver.sent() == []
+    assert driver.sent_request_ids() == []
     driver.run_until(101.05)
-    assert driver.sent() == ["a"]
+    assert driver.sent_request_ids() == ["a"]
     driver.end_attempt("a", AttemptOutcome.REJECTED)
     driver.run_until(101.5)
-    assert driver.sent() == ["a", "a"]
+    assert driver.sent_request_ids() == ["a", "a"]
     driver.run_until(102.0)
-    assert driver.sent() == ["a", "a"]
+    assert driver.sent_request_ids() == ["a", "a"]
 
 
 def test_rate_limit_share_fills_from_instance_start_and_not_from_first_request() -> None:
--- a/tests/policy/test_attempt_rules.py
+++ b/tests/policy/test_attempt_rules.py
@@ -21,9 +21,9 @@
         driver.arrival("b", object_key=5, class_index=1),
         driver.arrival("c", object_key=6),
     )
-    assert sorted(driver.sent()) == ["a", "c"]
+    assert sorted(driver.sent_request_ids()) == ["a", "c"]
     driver.end_attempt("a", AttemptOutcome.SERVED)
-    assert driver.sent()[-1] == "b"
+    assert driver.sent_request_ids()[-1] == "b"
 
 
 def test_a_key_cools_down_after_an_attempt_that_may_still_be_executed() -> None:
@@ -34,19 +34,19 @@
     driver.step(driver.arrival("a", object_key=5), driver.arrival("b", object_key=5))
     driver.end_attempt("a", AttemptOutcome.TIMEOUT)
     driver.run_until(100.08)
-    assert driver.sent() == ["a"]
+    assert driver.sent_request_ids() == ["a"]
     driver.run_until(100.2)
-    assert driver.sent() == ["a", "b"]
+    assert driver.sent_request_ids() == ["a", "b"]
 
 
 def test_a_cancelled_request_blocks_its_key_while_its_attempt_is_in_flight() -> None:
     driver = PolicyDriver(make_settings([ORDERED]), [make_endpoint_entry(1, 1)])
     driver.step(driver.arrival("a", object_key=5), driver.arrival("b", object_key=5))
     driver.step(api.ClientCancelled("a"))
-    assert driver.sent() == ["a"]
+    assert driver.sent_request_ids() == ["a"]
     driver.end_attempt("a", AttemptOutcome.CANCELLED, request_settled=True)
     driver.run_until(100.2)
-    assert driver.sent() == ["a", "b"]
+    assert driver.sent_request_ids() == ["a", "b"]
 
 
 def test_retries_stay_within_the_retry_budget() -> None:
@@ -58,9 +58,9 @@
     driver.step(driver.arrival("a"), driver.arrival("b"))
     driver.end_attempt("a", AttemptOutcome.ERROR)
     driver.end_attempt("b", AttemptOutcome.ERROR)
-    assert driver.sent() == ["a", "b", "a"]
+    assert driver.sent_request_ids() == ["a", "b", "a"]
     driver.run_until(101.05)
-    assert driver.sent() == ["a", "b", "a", "b"]
+    assert driver.sent_request_ids() == ["a", "b", "a", "b"]
 
 
 def test_retry_budget_grows_with_accepted_requests() -> None:
@@ -71,6 +71,6 @@
     )
     driver.submit("a")
     driver.end_attempt("a", AttemptOutcome.ERROR)
-    assert driver.sent() == ["a"]
+    assert driver.sent_request_ids() == ["a"]
     driver.submit("b", shard=9)
-    assert driver.sent() == ["a", "a"]
+    assert driver.sent_request_ids() == ["a", "a"]
--- a/tests/policy/test_endpoint_updates.py
+++ b/tests/policy/test_endpoint_updates.py
@@ -16,7 +16,7 @@
     driver.step(api.EndpointsChanged(api.EndpointUpdateKind.DELTA, [make_endpoint_entry(1, 1, state)]))
     driver.submit("a")
     driver.run_until(101.0)
-    assert driver.sent() == []
+    assert driver.sent_request_ids() == []
 
 
 def test_node_absent_from_a_snapshot_gets_no_requests() -> None:
@@ -24,7 +24,7 @@
     driver.step(api.EndpointsChanged(api.EndpointUpdateKind.SNAPSHOT, [make_endpoint_entry(2, 2)]))
     driver.submit("a")
     driver.run_until(101.0)
-    assert driver.sent() == []
+    assert driver.sent_request_ids() == []
 
 
 def test_endpoint_watch_is_requested_again_after_a_failure() -> None:
@@ -43,7 +43,7 @@
 def test_node_without_a_shard_takes_only_requests_that_create_objects() -> None:
     driver = PolicyDriver(make_settings(), [make_endpoint_entry(1, -1)])
     driver.step(driver.arrival("new", shard=-1), driver.arrival("old", shard=5))
-    assert driver.sent() == ["new"]
+    assert driver.sent_request_ids() == ["new"]
     driver.end_attempt("new", AttemptOutcome.SERVED)
     assert read_endpoint_entry({"Shelf": 3, "StageState": "live"}).shard == -1
 
@@ -53,7 +53,7 @@
         make_settings(), [make_endpoint_entry(1, 1), make_endpoint_entry(1, 1, api.EndpointState.DRAINING)]
     )
     driver.submit("a")
-    assert driver.sent() == []
+    assert driver.sent_request_ids() == []
 
 
 def test_object_that_is_requested_through_an_outage_is_served_after_it() -> None:
@@ -67,4 +67,4 @@
     for number in range(50):
         driver.submit(f"after {number}", object_key=7)
         driver.run_until(driver.now + 0.1)
-    assert driver.sent()
+    assert driver.sent_request_ids()
--- a/tests/policy/test_node_health.py
+++ b/tests/policy/test_node_health.py
@@ -83,10 +83,10 @@
     for _ in range(6):
         driver.end_attempt("a", AttemptOutcome.CONNECT_FAILED)
         driver.run_until(driver.now + 1.0)
-    attempts_sent = len(driver.sent())
+    attempts_sent = len(driver.sent_request_ids())
     driver.end_attempt("a", AttemptOutcome.CONNECT_FAILED)
     driver.run_until(driver.now + 0.45)
-    assert len(driver.sent()) == attempts_sent
+    assert len(driver.sent_request_ids()) == attempts_sent
 
 
 def test_successive_failures_raise_the_queueing_delay_and_a_lost_response_does_not() -> None:
--- a/tests/policy/test_odd_input.py
+++ b/tests/policy/test_odd_input.py
@@ -25,7 +25,7 @@
     )
     driver.submit("a")
     driver.run_until(101.9)
-    assert driver.sent() == ["a"]
+    assert driver.sent_request_ids() == ["a"]
 
 
 @pytest.mark.parametrize("gateway_count", [0, -1, 99])
@@ -39,7 +39,7 @@
     driver = PolicyDriver(make_settings(), [make_endpoint_entry(1, 1)])
     driver.submit("a", units=0.0)
     driver.end_attempt("a", AttemptOutcome.SERVED)
-    assert driver.sent() == ["a"]
+    assert driver.sent_request_ids() == ["a"]
     assert not driver.requests
 
 
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -72,7 +72,7 @@
     driver.submit("a")
     assert final_responses(driver.end_attempt("a", outcome), "a") == [api.FailRequest]
     driver.run_until(103.0)
-    assert driver.sent() == ["a"]
+    assert driver.sent_request_ids() == ["a"]
 
 
 def test_non_idempotent_request_is_retried_after_a_rejection() -> None:
@@ -80,7 +80,7 @@
     driver.submit("a")
     driver.end_attempt("a", AttemptOutcome.REJECTED)
     driver.run_until(101.0)
-    assert driver.sent() == ["a", "a"]
+    assert driver.sent_request_ids() == ["a", "a"]
 
 
 def test_repeatable_request_is_retried_up_to_the_maximum_of_attempts() -> None:
@@ -90,7 +90,7 @@
         assert driver.requests["a"].in_flight
         actions = driver.end_attempt("a", AttemptOutcome.ERROR)
     assert final_responses(actions, "a") == [api.RejectRequest]
-    assert driver.sent() == ["a"] * 3
+    assert driver.sent_request_ids() == ["a"] * 3
 
 
 def test_a_keyed_request_is_attempted_again_only_within_its_idempotency_window() -> None:
@@ -100,7 +100,7 @@
     driver.now += 0.6
     driver.end_attempt("a", AttemptOutcome.CONNECTION_RESET, elapsed_s=0.6)
     driver.run_until(101.9)
-    assert driver.sent() == ["a"]
+    assert driver.sent_request_ids() == ["a"]
 
 
 def test_a_keyed_request_stays_in_its_zone_or_shard() -> None:
@@ -127,7 +127,7 @@
     driver = PolicyDriver(make_settings(), [make_endpoint_entry(1, 1)])
     driver.submit("a")
     driver.run_until(101.9)
-    assert driver.sent() == ["a"]
+    assert driver.sent_request_ids() == ["a"]
 
 
 def driver_with_lost_response(class_repeatability: api.Repeatability) -> PolicyDriver:
--- a/tests/policy/test_scheduling.py
+++ b/tests/policy/test_scheduling.py
@@ -17,7 +17,7 @@
     driver.nodes[1].class_slots = [1]
     for number in range(6):
         driver.submit(f"r{number}")
-    assert driver.sent() == ["r0", "r1", "r2", "r3"]
+    assert driver.sent_request_ids() == ["r0", "r1", "r2", "r3"]
 
 
 def test_a_class_within_its_split_goes_before_a_borrower() -> None:
@@ -32,7 +32,7 @@
     driver.nodes[1].concurrency_limit = 2.0
     driver.nodes[1].class_slots = [1, 1]
     driver.step(driver.arrival("a"), driver.arrival("b"), driver.arrival("c", class_index=1))
-    assert driver.sent() == ["a", "c"]
+    assert driver.sent_request_ids() == ["a", "c"]
 
 
 def test_requests_that_create_objects_go_to_the_node_with_the_shortest_wait() -> None:
@@ -53,7 +53,7 @@
     driver.volumes[1].reservation.level = 0.0
     driver.step(driver.arrival("valuable", class_index=1), driver.arrival("reserved", volume_id=2))
     driver.end_attempt("out", api.AttemptOutcome.SERVED)
-    assert driver.sent()[:2] == ["out", "reserved"]
+    assert driver.sent_request_ids()[:2] == ["out", "reserved"]
 
 
 def test_requests_that_can_meet_their_objective_go_before_late_ones() -> None:
@@ -64,7 +64,7 @@
     driver.now += 0.45
     driver.submit("fresh", volume_id=3)
     driver.end_attempt("out", api.AttemptOutcome.SERVED)
-    assert driver.sent()[:2] == ["out", "fresh"]
+    assert driver.sent_request_ids()[:2] == ["out", "fresh"]
 
 
 def test_reserved_requests_have_as_many_slots_again() -> None:
@@ -74,12 +74,12 @@
     )
     assert driver.nodes[1].concurrency_limit == 1.0
     driver.step(driver.arrival("long", volume_id=1), driver.arrival("more", volume_id=2))
-    assert driver.sent() == ["long"], "beyond the reservation, the concurrency limit applies"
+    assert driver.sent_request_ids() == ["long"], "beyond the reservation, the concurrency limit applies"
     driver.step(
         driver.arrival("reserved", volume_id=3, plan_index=1),
         driver.arrival("too many", volume_id=4, plan_index=1),
     )
-    assert driver.sent() == ["long", "reserved"]
+    assert driver.sent_request_ids() == ["long", "reserved"]
 
 
 def test_request_that_would_miss_its_deadline_is_rejected_unsent() -> None:
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -25,11 +25,11 @@
 
 def units_sent(driver: PolicyDriver, seconds: float, units: float = 2.0) -> float:
     """Return the units sent to node 1 under overload; each attempt is served at once."""
-    start, end = len(driver.sent()), driver.now + seconds
+    start, end = len(driver.sent_request_ids()), driver.now + seconds
     while driver.now < end:
         driver.step(driver.arrival(f"at{driver.now:.2f}", units=units), at=driver.now + 0.02)
         driver.end_all_attempts(0.02)
-    return units * (len(driver.sent()) - start)
+    return units * (len(driver.sent_request_ids()) - start)
 
 
 def test_many_instances_together_send_a_warming_node_at_most_slow_start_units() -> None:
@@ -64,11 +64,11 @@
             api.EndpointsChanged(api.EndpointUpdateKind.DELTA, [make_endpoint_entry(1, 1, started_at=99.5)])
         )
         driver.step(driver.arrival("a"), driver.arrival("b"))
-        both_sent_count += driver.sent() == ["a", "b"]
+        both_sent_count += driver.sent_request_ids() == ["a", "b"]
         for number in range(200):
             driver.submit(f"r{number}")
             driver.run_until(driver.now + 0.02)
-        sent += len(driver.sent())  # no attempt ends, so that no service time is known
+        sent += len(driver.sent_request_ids())  # no attempt ends, so that no service time is known
     assert both_sent_count <= 4
     most_units = 40 * 4.5  # 4 s, and half a second's tokens at the start
     assert 40 * 2.0 < sent <= most_units + 2 * math.sqrt(most_units)
@@ -77,7 +77,7 @@
 def test_node_after_its_slow_start_is_not_limited() -> None:
     driver = PolicyDriver(make_settings(slow_start_units=2.0), [make_endpoint_entry(1, 1, started_at=89.0)])
     driver.step(driver.arrival("a"), driver.arrival("b"))
-    assert driver.sent() == ["a", "b"]
+    assert driver.sent_request_ids() == ["a", "b"]
 
 
 def test_new_instance_sends_a_warming_node_its_share_of_what_a_core_serves() -> None:
@@ -110,7 +110,7 @@
                 driver.submit(f"r{driver.now:.2f}", shard=2, volume_id=2)
                 driver.run_until(driver.now + 0.1)
                 driver.end_all_attempts(0.01)
-            sent += len(driver.sent()) - 1
+            sent += len(driver.sent_request_ids()) - 1
         return sent / 20
 
     # the first 9 s of a 10 s slow start from a share of 0.2 equal 4.3 s at full capacity, of which twice the
@@ -142,7 +142,7 @@
                 driver.submit(
                     name, shard=WARMING, plan_index=plan_index, volume_id=1 + plan_index, units=UNITS
                 )
-                if name in driver.sent():
+                if name in driver.sent_request_ids():
                     sent[1 + plan_index] += 1
                     driver.end_attempt(name, api.AttemptOutcome.SERVED, node=WARMING, elapsed_s=0.1)
             driver.now += 0.1
--- a/tests/support/policy.py
+++ b/tests/support/policy.py
@@ -188,6 +188,6 @@
             node = attempt.node.node_id
             self.end_attempt(request.request_id, api.AttemptOutcome.SERVED, node=node, elapsed_s=elapsed_s)
 
-    def sent(self) -> list[str]:
+    def sent_request_ids(self) -> list[str]:
         """Return the request ids of all attempts so far, in order."""
         return [action.request_id for action in self.actions if isinstance(action, api.SendAttempt)]
