--- a/storage_gateway/endpoints/discovery.py
+++ b/storage_gateway/endpoints/discovery.py
@@ -94,7 +94,8 @@
 
         Args:
             update: the whole list or changes to it.
-            kind: the kind that the policy is told; None for a snapshot or a delta, as the update says.
+            kind: kind of the update as reported to the policy; None for a snapshot or a delta, as the update
+                says.
         """
         if kind is None:
             kind = _kind_of(update)
--- a/storage_gateway/policy/admission.py
+++ b/storage_gateway/policy/admission.py
@@ -153,7 +153,7 @@
 
         Args:
             request: the request; one that is over already is left alone.
-            response: the final response; None if none is owed.
+            response: the final response; None if none is needed.
             served: whether an attempt has served the request.
         """
         if request.is_over:
--- a/storage_gateway/policy/concurrency.py
+++ b/storage_gateway/policy/concurrency.py
@@ -76,13 +76,14 @@
     high = [estimate.bound + MAX_BOUND_STEP for estimate in classes]
     target = min(1.0, sum(high))
     granted = _equalize_shortfall(classes, low, high, target)
-    # Classes without a slope leave a remainder, positive or negative; divide it by the room of each class.
+    # Classes without a slope leave a remainder, positive or negative; divide it in proportion to the
+    # distance of each class from its limit.
     remainder = target - sum(granted)
     limits = high if remainder > 0 else low
-    room = [abs(limit - share) for limit, share in zip(limits, granted, strict=True)]
+    distances = [abs(limit - share) for limit, share in zip(limits, granted, strict=True)]
     return [
-        share + remainder * class_room / max(sum(room), 1e-12)
-        for share, class_room in zip(granted, room, strict=True)
+        share + remainder * distance / max(sum(distances), 1e-12)
+        for share, distance in zip(granted, distances, strict=True)
     ]
 
 
--- a/storage_gateway/policy/slow_start.py
+++ b/storage_gateway/policy/slow_start.py
@@ -21,7 +21,10 @@
         self.safety = state.settings.safety
 
     def admits(self, request: Request, node: Node) -> bool:
-        """Return whether the request may go to the node; it is drawn once per request and incarnation."""
+        """Return whether the request may go to the node.
+
+        The decision is drawn at random once per request and incarnation.
+        """
         age_s = self.state.now - node.started_at
         if node.started_at <= 0 or age_s >= self.safety.slow_start_window_s:
             return True
--- a/storage_gateway/policy_api/events.py
+++ b/storage_gateway/policy_api/events.py
@@ -123,7 +123,7 @@
         node_id: id of the node that it was sent to.
         outcome: how the attempt ended.
         elapsed_s: seconds for which it was in flight.
-        request_settled: whether the client has received its final response, or none is owed any more.
+        request_settled: whether the client has received its final response, or none is needed any more.
         units_elsewhere: units that the node has served the volume through other gateway instances since its
             last report to this one.
     """
@@ -139,7 +139,7 @@
 
 @dataclass(slots=True)
 class ClientCancelled:
-    """The client has closed its connection; no response is owed."""
+    """The client has closed its connection; no response is needed."""
 
     request_id: str
 
--- a/storage_gateway/policy_state/node_table.py
+++ b/storage_gateway/policy_state/node_table.py
@@ -97,8 +97,8 @@
         """Add the units served in a control round of ``round_s`` seconds to means over ``span_s`` seconds."""
         span_s = max(round_s, span_s, MIN_RATE_SPAN_S)
         for node in self.owners.values():
-            kept = self.shard_rates.get(node.shard, 0.0) * (1 - round_s / span_s)
-            self.shard_rates[node.shard] = kept + node.served_units / span_s
+            decayed_rate = self.shard_rates.get(node.shard, 0.0) * (1 - round_s / span_s)
+            self.shard_rates[node.shard] = decayed_rate + node.served_units / span_s
             node.served_units = 0.0
 
     def forget_unused(self, unused_since: float, volume_ids: Container[int]) -> None:
--- a/storage_gateway/policy_state/request.py
+++ b/storage_gateway/policy_state/request.py
@@ -57,7 +57,7 @@
         objective_at: until when a response has its full value.
         drawn_units: reserved units that the latest attempt has drawn.
         attempts_sent: number of attempts sent so far.
-        is_over: whether the final response has been given, or none is owed.
+        is_over: whether the final response has been given, or none is needed.
         slow_start_admitted: whether slow start admitted the request, by incarnation of a warming node.
         in_flight: attempts in flight, by attempt number.
         possible_executions: ended attempts that may have been executed.
--- a/storage_gateway/policy_state/volume.py
+++ b/storage_gateway/policy_state/volume.py
@@ -40,5 +40,5 @@
 
     def forget_before(self, oldest: float) -> None:
         """Drop the reserved units of seconds before ``oldest``."""
-        kept = {second: units for second, units in self.reserved_units.items() if second >= oldest}
-        self.reserved_units = defaultdict(float, kept)
+        remaining_units = {second: units for second, units in self.reserved_units.items() if second >= oldest}
+        self.reserved_units = defaultdict(float, remaining_units)
--- a/storage_gateway/simulator_adapter.py
+++ b/storage_gateway/simulator_adapter.py
@@ -159,8 +159,8 @@
 def write_action(instance: int, action: api.Action) -> WireObject:
     """Translate an action of an instance's policy for the simulator."""
     match action:
-        case api.SendAttempt(request_id, node):
-            return {"type": "ROUTE", "Head": instance, "Req": request_id, "Shelf": node}
+        case api.SendAttempt(request_id, node_id):
+            return {"type": "ROUTE", "Head": instance, "Req": request_id, "Shelf": node_id}
         case api.RejectRequest(request_id, retry_after_s):
             return {"type": "SAY_NO", "Head": instance, "Req": request_id, "WaitS": retry_after_s}
         case api.FailRequest(request_id):
--- a/tests/http/test_attempt_deadline.py
+++ b/tests/http/test_attempt_deadline.py
@@ -53,7 +53,7 @@
         arrival = api.RequestArrived("t", 0, 0, 1, 1, 0, 1.0, self.executor.now() + 60, 1)
         other_actions: asyncio.Queue[Any] = asyncio.Queue()
 
-        async def attempt(node: int) -> AttemptResult[bytes]:
+        async def attempt(node_id: int) -> AttemptResult[bytes]:
             pending_request = self.executor.pending["t"]
             assert pending_request.attempt_timer
             # The timer fires, and the policy cancels the attempt before the timer wakes this task.
--- a/tests/lifecycle/test_lifecycle.py
+++ b/tests/lifecycle/test_lifecycle.py
@@ -42,7 +42,7 @@
     async def execute(self, *, serve: bool) -> Served[str] | Rejected | Failed:
         """Execute one request on a node that serves it or never responds."""
 
-        async def make_attempt(node: int) -> AttemptResult[str]:
+        async def make_attempt(node_id: int) -> AttemptResult[str]:
             if not serve:
                 await asyncio.Event().wait()
             return AttemptResult(api.AttemptOutcome.SERVED, "body")
--- a/tests/project/test_deploy.py
+++ b/tests/project/test_deploy.py
@@ -10,8 +10,8 @@
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
 PRINT_PROCESS_ID = "#!/bin/sh\necho $$\n"
 CREATE_ENVIRONMENT = (
-    "#!/bin/sh\nmkdir -p .venv/bin\nfor one in pip python; do "
-    "printf '#!/bin/sh\\n' > .venv/bin/$one; chmod +x .venv/bin/$one; done\n"
+    "#!/bin/sh\nmkdir -p .venv/bin\nfor tool in pip python; do "
+    "printf '#!/bin/sh\\n' > .venv/bin/$tool; chmod +x .venv/bin/$tool; done\n"
 )
 
 
--- a/tests/project/test_size.py
+++ b/tests/project/test_size.py
@@ -46,7 +46,9 @@
 def test_classes_are_short() -> None:
     classes = [definition for path in FILES for definition in _list_definitions(path, ast.ClassDef)]
 
-    long_classes = [one for one in classes if one.line_count > MAX_CLASS_LINES]
+    long_classes = [
+        class_definition for class_definition in classes if class_definition.line_count > MAX_CLASS_LINES
+    ]
     assert classes
     assert not long_classes, long_classes
 
@@ -58,7 +60,11 @@
         for definition in _list_definitions(path, ast.FunctionDef, ast.AsyncFunctionDef)
     ]
 
-    long_functions = [one for one in functions if one.line_count > MAX_FUNCTION_LINES]
+    long_functions = [
+        function_definition
+        for function_definition in functions
+        if function_definition.line_count > MAX_FUNCTION_LINES
+    ]
     assert functions
     assert not long_functions, long_functions
 
--- a/tests/service/test_shutdown.py
+++ b/tests/service/test_shutdown.py
@@ -47,7 +47,7 @@
         known = discovery_snapshot(discovery_entry("SERVING", node.port))
         discovery = await self.start_discovery(known)
         await self.start_gateway(known=known, discovery=f"127.0.0.1:{discovery.port}")
-        before = asyncio.create_task(self.get_status(TARGET, **{"X-Trace-Id": "before"}))
+        earlier_request = asyncio.create_task(self.get_status(TARGET, **{"X-Trace-Id": "before"}))
         await node.wait_for_request("before")
 
         self.process.send_signal(signal.SIGTERM)
@@ -55,10 +55,11 @@
 
         loop = asyncio.get_running_loop()
         shutdown_started_at = loop.time()
-        after = await self.get_response(TARGET, **{"X-Trace-Id": "after"})
-        assert (after.status, after.headers.get("Connection")) == (200, None)  # the connection stays open
+        later_response = await self.get_response(TARGET, **{"X-Trace-Id": "after"})
+        # The connection stays open.
+        assert (later_response.status, later_response.headers.get("Connection")) == (200, None)
         release.set()
-        assert await before == 200
+        assert await earlier_request == 200
         while loop.time() < shutdown_started_at + 0.9:
             trace_id = str(node.accepted_connections + len(node.heads))
             assert await self.get_status(TARGET, **{"X-Trace-Id": trace_id}) == 200
--- a/tests/support/policy.py
+++ b/tests/support/policy.py
@@ -81,10 +81,10 @@
 
 
 def make_endpoint_entry(
-    node: int, shard: int, state: api.EndpointState = api.EndpointState.SERVING, started_at: float = 0.0
+    node_id: int, shard: int, state: api.EndpointState = api.EndpointState.SERVING, started_at: float = 0.0
 ) -> api.EndpointEntry:
     """Return the entry of a node in an update of the endpoint list; zones 0 and 1 alternate by shard."""
-    return api.EndpointEntry(id=node, shard=shard, zone=shard % 2, state=state, started_at=started_at)
+    return api.EndpointEntry(id=node_id, shard=shard, zone=shard % 2, state=state, started_at=started_at)
 
 
 class PolicyDriver:
